--- a/ferrydeck/commands/roll.py
+++ b/ferrydeck/commands/roll.py
@@ -77,7 +77,7 @@
     key = rollout.bundle_key(verified.bundle.version)
     value = verified.raw.decode()
     for _ in range(TRIES):
-        result = port.ask(platform.Write(key=key, value=value, expect=0))
+        result = port.ask(platform.Write(key=key, value=value, expected_version=0))
         if isinstance(result, platform.Written):
             return None
         found = port.read(key)
@@ -98,7 +98,7 @@
     value = msgspec.json.encode(pointer).decode()
     for _ in range(TRIES):
         result = port.ask(
-            platform.Write(key=rollout.POINTER, value=value, expect=expect)
+            platform.Write(key=rollout.POINTER, value=value, expected_version=expect)
         )
         if isinstance(result, platform.Written):
             return done(verified, "rolled")
--- a/ferrydeck/replay/world.py
+++ b/ferrydeck/replay/world.py
@@ -376,7 +376,7 @@
 
     def _watch(self, box: Box, request: platform.Watch, ends: float) -> None:
         """Look at a watched key from time to time."""
-        changed = self.store.version(request.key) != request.after
+        changed = self.store.version(request.key) != request.after_version
         if changed or self.env.now >= ends:
             self._serve_platform(box, request)
             return
--- a/ferrydeck/signed/core/admission.py
+++ b/ferrydeck/signed/core/admission.py
@@ -206,7 +206,7 @@
             self._depths = Depths()
         self._adapt_limit()
         self._adapt_level(now)
-        self._window_end = now + levels.WINDOW_S
+        self._window_end = now + levels.ADJUST_INTERVAL_S
         self._peak = self.running
         self._troubled = False
         self._shed_best = None
@@ -234,10 +234,10 @@
         if self._shed_best is not None and busy:
             wanted = self._served_lately() + self._room() // 4
             # No class is closed of which the queue itself has shed none.
-            floor = priority.rank_of(self._shed_best) * priority.BUCKETS - 1
+            floor = priority.rank_of(self._shed_best) * priority.BUCKETS_PER_CLASS - 1
             self.level.lower(now, max(floor, self._level_for(wanted)))
             return
-        self.level.rise(now)
+        self.level.raise_if_due(now)
 
     def _level_for(self, wanted: float) -> int:
         """Return the level that would have let about `wanted` offered jobs in."""
@@ -252,7 +252,9 @@
         """Return about how many jobs end in the time that the offers stand for."""
         if not self.service_s:
             return int(self._allowed)
-        return int(self._allowed * levels.WINDOW_S / self.service_s / (1 - DECAY))
+        return int(
+            self._allowed * levels.ADJUST_INTERVAL_S / self.service_s / (1 - DECAY)
+        )
 
     def _order(self, number: int, depth: int) -> tuple[int, int, int, int]:
         self._sequence += 1
--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -305,7 +305,7 @@
         level = self.router.level(now, call.service, call.path_key)
         if level < call.priority:
             path_levels = self.intake.correlation.path_levels
-            path_levels.refused_below(now, call.parent_path, level)
+            path_levels.record_nested_refusal(now, call.parent_path, level)
 
     def _reject(self, conn: int, rejected: intake.Rejected) -> None:
         """Answer a request that is no call."""
--- a/ferrydeck/signed/core/hashes.py
+++ b/ferrydeck/signed/core/hashes.py
@@ -5,7 +5,7 @@
 import xxhash
 
 
-def number(text: str) -> int:
+def hash64(text: str) -> int:
     """Return a number of 64 bits for a text."""
     return xxhash.xxh64_intdigest(text.encode())
 
@@ -20,6 +20,6 @@
     return digest.intdigest()
 
 
-def hexadecimal(text: str) -> str:
+def hash128_hex(text: str) -> str:
     """Return 128 bits for a text, as hexadecimal."""
     return xxhash.xxh3_128_hexdigest(text.encode())
--- a/ferrydeck/signed/core/intake.py
+++ b/ferrydeck/signed/core/intake.py
@@ -115,7 +115,7 @@
             key=key,
             caller=caller_of(event),
             request_id=request_id,
-            priority=priority.of(rank, request_id),
+            priority=priority.for_request(rank, request_id),
             depth=depth,
             ledger=retries.Ledger(left=allowance),
             parent_path=parent.path_key if parent else "",
@@ -204,7 +204,7 @@
 def caller_of(event: events.CallReceived) -> str:
     """Return what distinguishes callers: a digest of their credentials."""
     credentials = headers.first(event.headers, headers.AUTHORIZATION)
-    return hashes.hexadecimal(credentials) if credentials else ""
+    return hashes.hash128_hex(credentials) if credentials else ""
 
 
 def resend_key(call: calls.Call) -> tuple[str, str, str]:
--- a/ferrydeck/signed/core/keys.py
+++ b/ferrydeck/signed/core/keys.py
@@ -52,7 +52,7 @@
 
 def shard_of(key: str) -> int:
     """Return the shard of a key."""
-    return hashes.number(key) % bundles.SHARDS
+    return hashes.hash64(key) % bundles.SHARDS
 
 
 def fingerprint(method: str, path: str, body: bytes) -> int:
--- a/ferrydeck/signed/core/leases.py
+++ b/ferrydeck/signed/core/leases.py
@@ -194,7 +194,7 @@
             platform.Write(
                 key=self.key,
                 value=encode(alive),
-                expect=self._version or 0,
+                expected_version=self._version or 0,
                 ttl_s=lease_s,
             )
         )
--- a/ferrydeck/signed/core/levels.py
+++ b/ferrydeck/signed/core/levels.py
@@ -6,9 +6,9 @@
 
 from ferrydeck.signed.core import priority
 
-WINDOW_S = 0.1
+ADJUST_INTERVAL_S = 0.1
 """How often a level is reconsidered, seconds."""
-FIRST_STEP = 64
+INITIAL_RAISE_STEP = 64
 """How far a level rises after the first calm window; it doubles after."""
 
 
@@ -21,30 +21,30 @@
     """
 
     value: int = priority.TOP_LEVEL
-    _step: int = FIRST_STEP
-    _window_end: float = 0.0
+    _raise_step: int = INITIAL_RAISE_STEP
+    _next_raise_at: float = 0.0
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Return whether every call is let in."""
         return self.value >= priority.TOP_LEVEL
 
-    def admits(self, number: int) -> bool:
+    def admits(self, request_priority: int) -> bool:
         """Return whether a call of a priority is let in."""
-        return number <= self.value
+        return request_priority <= self.value
 
     def lower(self, now: float, value: int) -> None:
         """Set the level on a sign of overload."""
         self.value = value
-        self._step = FIRST_STEP
-        self._window_end = now + WINDOW_S
+        self._raise_step = INITIAL_RAISE_STEP
+        self._next_raise_at = now + ADJUST_INTERVAL_S
 
-    def rise(self, now: float) -> None:
+    def raise_if_due(self, now: float) -> None:
         """Raise the level if a window without a sign of overload is over."""
-        while not self.open and now >= self._window_end:
-            self.value = min(priority.TOP_LEVEL, self.value + self._step)
-            self._step *= 2
-            self._window_end += WINDOW_S
+        while not self.is_open and now >= self._next_raise_at:
+            self.value = min(priority.TOP_LEVEL, self.value + self._raise_step)
+            self._raise_step *= 2
+            self._next_raise_at += ADJUST_INTERVAL_S
 
 
 @attrs.define(kw_only=True)
@@ -57,19 +57,19 @@
 
     levels: dict[str, Level] = attrs.Factory(dict)
 
-    def refused_below(self, now: float, path: str, value: int) -> None:
+    def record_nested_refusal(self, now: float, path: str, value: int) -> None:
         """Note that a call made for a request on `path` was refused by a level."""
         level = self.levels.setdefault(path, Level())
-        level.rise(now)
-        level.lower(now, min(level.value, value) if not level.open else value)
+        level.raise_if_due(now)
+        level.lower(now, min(level.value, value) if not level.is_open else value)
 
     def value(self, now: float, path: str) -> int:
         """Return the level of a path."""
         level = self.levels.get(path)
         if level is None:
             return priority.TOP_LEVEL
-        level.rise(now)
-        if level.open:
+        level.raise_if_due(now)
+        if level.is_open:
             del self.levels[path]
             return priority.TOP_LEVEL
         return level.value
--- a/ferrydeck/signed/core/membership.py
+++ b/ferrydeck/signed/core/membership.py
@@ -214,7 +214,7 @@
         total = 0
         for member in self.records():
             text = f"{member.box}/{member.incarnation}/{member.sequence}"
-            total ^= hashes.number(text)
+            total ^= hashes.hash64(text)
         return total
 
     def is_watcher(self) -> bool:
@@ -225,7 +225,7 @@
             for box, peer in self.peers.items()
             if peer.member.data_centre == self.own.data_centre and peer.takes_work
         ]
-        names.sort(key=hashes.number)
+        names.sort(key=hashes.hash64)
         return self.own.box in names[:WATCHERS]
 
     def sample(self, count: int) -> list[Peer]:
--- a/ferrydeck/signed/core/platform.py
+++ b/ferrydeck/signed/core/platform.py
@@ -21,30 +21,30 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Write:
-    """Write a key if its version is still `expect`; 0 means it must be absent."""
+    """Write a key if its version is `expected_version`; 0 means it must be absent."""
 
     key: str
     value: str
-    expect: int
+    expected_version: int
     ttl_s: float = 0.0
     """Life of the key unless it is written again, seconds; 0 for no end."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Watch:
-    """Wait until the version of a key is no longer `after`, at most `wait_s`."""
+    """Wait up to `wait_s` until the version of a key differs from `after_version`."""
 
     key: str
-    after: int
+    after_version: int
     wait_s: float
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Boxes:
+class ListBoxes:
     """Read the platform's list of boxes, which lags."""
 
 
-Request = Read | List | Write | Watch | Boxes
+Request = Read | List | Write | Watch | ListBoxes
 
 
 @attrs.define(kw_only=True, frozen=True)
--- a/ferrydeck/signed/core/recent.py
+++ b/ferrydeck/signed/core/recent.py
@@ -8,21 +8,21 @@
 
 
 @attrs.define(kw_only=True)
-class Recent:
-    """Remembers each item for at least `keep_s`, at most twice as long."""
+class RecentSet:
+    """Remembers each item for at least `retention_s`, at most twice as long."""
 
-    keep_s: float
-    _new: set[Hashable] = attrs.Factory(set)
-    _old: set[Hashable] = attrs.Factory(set)
-    _turn_at: float = 0.0
+    retention_s: float
+    _current: set[Hashable] = attrs.Factory(set)
+    _previous: set[Hashable] = attrs.Factory(set)
+    _rotate_at: float = 0.0
 
     def add(self, now: float, item: Hashable) -> None:
         """Remember an item."""
-        if now >= self._turn_at:
-            self._old = self._new
-            self._new = set()
-            self._turn_at = now + self.keep_s
-        self._new.add(item)
+        if now >= self._rotate_at:
+            self._previous = self._current
+            self._current = set()
+            self._rotate_at = now + self.retention_s
+        self._current.add(item)
 
     def __contains__(self, item: Hashable) -> bool:
-        return item in self._new or item in self._old
+        return item in self._current or item in self._previous
--- a/ferrydeck/signed/core/rollout.py
+++ b/ferrydeck/signed/core/rollout.py
@@ -98,7 +98,7 @@
         """Watch the pointer, or read it where others watch."""
         if self.members.is_watcher():
             request = platform.Watch(
-                key=POINTER, after=self._pointer_version, wait_s=WATCH_WAIT_S
+                key=POINTER, after_version=self._pointer_version, wait_s=WATCH_WAIT_S
             )
         else:
             request = platform.Read(key=POINTER)
@@ -109,7 +109,7 @@
         every = BOXES_EVERY_S * (0.9 + 0.2 * self.ctx.rng.random())
         self.ctx.at(now + every, BoxesTimer())
         if self.members.is_watcher():
-            self.ctx.emit(effects.AskPlatform(request=platform.Boxes()))
+            self.ctx.emit(effects.AskPlatform(request=platform.ListBoxes()))
 
     def received(self, now: float, envelope: messages.Envelope) -> None:
         """Ask a box that has a newer bundle for it."""
@@ -156,9 +156,9 @@
     ) -> bool:
         """Take the platform's answer; return whether the request was one of these."""
         match request, result:
-            case platform.Boxes(), platform.BoxList(boxes=boxes):
+            case platform.ListBoxes(), platform.BoxList(boxes=boxes):
                 self._listed(now, boxes)
-            case platform.Boxes(), _:
+            case platform.ListBoxes(), _:
                 self.ctx.count("platform_faults", "boxes")
             case platform.Read(key=key) | platform.Watch(key=key), _ if key == POINTER:
                 self._pointer_answered(now, result)
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -48,8 +48,12 @@
     once: once.Once = attrs.field(init=False)
     runs: runs.Runs = attrs.field(init=False)
     jobs: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
-    _seen: recent.Recent = attrs.Factory(lambda: recent.Recent(keep_s=REMEMBER_S))
-    _cancelled: recent.Recent = attrs.Factory(lambda: recent.Recent(keep_s=REMEMBER_S))
+    _seen: recent.RecentSet = attrs.Factory(
+        lambda: recent.RecentSet(retention_s=REMEMBER_S)
+    )
+    _cancelled: recent.RecentSet = attrs.Factory(
+        lambda: recent.RecentSet(retention_s=REMEMBER_S)
+    )
 
     def __attrs_post_init__(self) -> None:
         self.target = local_target.LocalTarget(
--- a/ferrydeck/signed/core/shard_records.py
+++ b/ferrydeck/signed/core/shard_records.py
@@ -83,7 +83,9 @@
             return False
         fence = attrs.evolve(holder, fence=True)
         key = f"{self.alive_prefix}{holder.box}"
-        self._ask(now, platform.Write(key=key, value=leases.encode(fence), expect=0))
+        self._ask(
+            now, platform.Write(key=key, value=leases.encode(fence), expected_version=0)
+        )
         return False
 
     def swap(
@@ -100,7 +102,7 @@
         request = platform.Write(
             key=f"{self.shard_prefix}{shard}",
             value=msgspec.json.encode(record).decode(),
-            expect=known.version if known else 0,
+            expected_version=known.version if known else 0,
         )
         if self._ask(now, request):
             self._tried[shard] = record
@@ -187,7 +189,7 @@
     found = {}
     for shard in range(bundles.SHARDS):
         free = [box for box in boxes if room[box]]
-        best = max(free, key=lambda box: hashes.number(f"{service}/{shard}/{box}"))
+        best = max(free, key=lambda box: hashes.hash64(f"{service}/{shard}/{box}"))
         found[shard] = best
         room[best] -= 1
     return found
@@ -198,7 +200,7 @@
     match request:
         case platform.List(prefix=prefix):
             return prefix
-        case platform.Boxes():
+        case platform.ListBoxes():
             return "boxes"
         case _:
             return request.key
--- a/ferrydeck/signed/net/platform_client.py
+++ b/ferrydeck/signed/net/platform_client.py
@@ -25,13 +25,13 @@
             return api_client.Call(method="GET", path=f"/kv/{quote(key)}")
         case platform.List(prefix=prefix):
             return api_client.Call(method="GET", path=f"/list?prefix={quote(prefix)}")
-        case platform.Watch(key=key, after=after, wait_s=wait_s):
+        case platform.Watch(key=key, after_version=after, wait_s=wait_s):
             path = f"/kv/{quote(key)}?after={after}&wait={wait_s}"
             return api_client.Call(method="GET", path=path)
-        case platform.Write(key=key, value=value, expect=expect, ttl_s=ttl_s):
+        case platform.Write(key=key, value=value, expected_version=expect, ttl_s=ttl_s):
             path = f"/kv/{quote(key)}?expect={expect}&ttl={ttl_s}"
             return api_client.Call(method="PUT", path=path, body=value.encode())
-        case platform.Boxes():
+        case platform.ListBoxes():
             return api_client.Call(method="GET", path="/boxes")
 
 
@@ -60,7 +60,7 @@
             return platform.Written(version=answer["version"])
         case platform.List():
             return platform.Listed(entries=tuple(map(entry_of, answer["entries"])))
-        case platform.Boxes():
+        case platform.ListBoxes():
             boxes = tuple(platform.ListedBox(**box) for box in answer["boxes"])
             return platform.BoxList(boxes=boxes)
         case _:
--- a/ferrydeck/standins/platform.py
+++ b/ferrydeck/standins/platform.py
@@ -113,7 +113,7 @@
                 self.answer(call, 200, result)
 
     def _unchanged(self, request: platform.Watch) -> bool:
-        return self.store.version(request.key) == request.after
+        return self.store.version(request.key) == request.after_version
 
     def _end_watch(self, call: int) -> None:
         waiter = self.waiters.pop(call, None)
@@ -139,16 +139,16 @@
             return platform.Write(
                 key=key,
                 value=req.body.decode(),
-                expect=int(query["expect"]),
+                expected_version=int(query["expect"]),
                 ttl_s=float(query.get("ttl", "0")),
             )
         case "GET", "kv" if "after" in query:
             after, wait_s = int(query["after"]), float(query["wait"])
-            return platform.Watch(key=key, after=after, wait_s=wait_s)
+            return platform.Watch(key=key, after_version=after, wait_s=wait_s)
         case "GET", "kv":
             return platform.Read(key=key)
         case "GET", "list":
             return platform.List(prefix=query["prefix"])
         case "GET", "boxes":
-            return platform.Boxes()
+            return platform.ListBoxes()
     return None
--- a/ferrydeck/standins/store.py
+++ b/ferrydeck/standins/store.py
@@ -46,7 +46,7 @@
         match request:
             case platform.List(prefix=prefix):
                 return platform.Listed(entries=self._list(prefix))
-            case platform.Boxes():
+            case platform.ListBoxes():
                 return platform.BoxList(boxes=self.boxes)
             case _:
                 return self._read(request.key)
@@ -62,7 +62,7 @@
         self.writes += 1
         current = self.values.get(request.key)
         version = current.version if current else 0
-        if request.expect != version:
+        if request.expected_version != version:
             return platform.Conflict(version=version)
         self.revision += 1
         ends_at = now + request.ttl_s if request.ttl_s else float("inf")
--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -164,9 +164,13 @@
     """Write a pointer and a bundle to the platform, past the tool's checks."""
     port = client.PlatformPort(address=mesh.control)
     pointer = port.read(rollout.POINTER).entry
-    port.ask(platform.Write(key=f"bundle/{version}", value=raw, expect=0))
+    port.ask(platform.Write(key=f"bundle/{version}", value=raw, expected_version=0))
     value = json.dumps({"version": version, "digest": "0" * 64})
-    port.ask(platform.Write(key=rollout.POINTER, value=value, expect=pointer.version))
+    port.ask(
+        platform.Write(
+            key=rollout.POINTER, value=value, expected_version=pointer.version
+        )
+    )
 
 
 def test_bundles_that_fail_a_check_are_not_taken(make_fleet):
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -9,7 +9,7 @@
 
 
 def offer(adm, job, *, rank=2, depth=0, expires=10.0, now=0.0):
-    number = rank * priority.BUCKETS + 5
+    number = rank * priority.BUCKETS_PER_CLASS + 5
     return adm.offer(now, job, number=number, depth=depth, expires=expires)
 
 
@@ -60,10 +60,10 @@
     level.lower(0.0, 0)
     values = []
     for step in range(1, 9):
-        level.rise(step * levels.WINDOW_S)
+        level.raise_if_due(step * levels.ADJUST_INTERVAL_S)
         values.append(level.value)
     assert values[:3] == [64, 192, 448]
-    assert level.open
+    assert level.is_open
 
 
 def test_a_budget_holds_retries_to_a_share():
