--- a/ferrydeck/signed/core/admission.py
+++ b/ferrydeck/signed/core/admission.py
@@ -11,38 +11,38 @@
 from ferrydeck.signed.core import levels, priority
 from ferrydeck.signed.wire import messages
 
-DECREASE = 0.8
-INCREASE_SHARE = 0.05
-MIN_SHARE = 0.1
-COLD_SHARE = 0.25
-SMOOTHING = 0.1
-QUEUE_SHARE = 2.0
+LIMIT_DECREASE_FACTOR = 0.8
+LIMIT_INCREASE_RATIO = 0.05
+MIN_LIMIT_RATIO = 0.1
+COLD_START_RATIO = 0.25
+SERVICE_TIME_EWMA_WEIGHT = 0.1
+MAX_QUEUE_TO_LIMIT_RATIO = 2.0
 """Length of the queue over the limit: about so many service times to wait at most."""
-MIN_QUEUE = 4
-WAIT_TARGET_S = 0.02
+MIN_QUEUE_CAPACITY = 4
+MAX_MEAN_QUEUE_WAIT_S = 0.02
 """Mean wait in the queue above which a window counts as overloaded, seconds."""
-DECAY = 0.7
+OFFERED_DECAY_RATIO = 0.7
 """Share of the offers of a window that still counts in the next one."""
-FORGOTTEN = 0.05
-KEPT_FOR_INNER = 0.1
+MIN_OFFERED_COUNT = 0.05
+NESTED_RESERVE_RATIO = 0.1
 """Share of the limit kept for inner calls where both kinds come."""
-DEPTHS_KEPT_S = 10.0
-RETURNS_KEPT_S = 10.0
+DEPTH_WINDOW_S = 10.0
+NESTED_RESERVE_S = 10.0
 """How long slots are kept after a request came back to its target, seconds."""
-PROTECTED_QUEUE = 4
+TOP_CLASS_QUEUE_RATIO = 4
 """How many times longer the queue may be with calls of the top class alone."""
 
 
 @attrs.define(kw_only=True)
-class Waiting:
-    """A job in the queue; `order` sorts the queue."""
+class QueuedJob:
+    """A job in the queue; `sort_key` orders it."""
 
-    order: tuple[int, int, int, int]
+    sort_key: tuple[int, int, int, int]
     depth: int
     job: Any
-    number: int
-    since: float
-    expires: float
+    request_priority: int
+    queued_at: float
+    deadline: float
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -64,20 +64,20 @@
 
 
 @attrs.define(kw_only=True)
-class Depths:
+class CallDepths:
     """How deep in their requests the jobs of late were."""
 
-    least: int = 1_000_000
-    most: int = 0
+    min_depth: int = 1_000_000
+    max_depth: int = 0
 
-    def add(self, depth: int) -> None:
+    def record(self, depth: int) -> None:
         """Note the depth of a job."""
-        self.least = min(self.least, depth)
-        self.most = max(self.most, depth)
+        self.min_depth = min(self.min_depth, depth)
+        self.max_depth = max(self.max_depth, depth)
 
-    def outermost(self, depth: int) -> bool:
+    def is_outermost(self, depth: int) -> bool:
         """Return whether deeper jobs come here too, and none shallower."""
-        return self.least == depth < self.most
+        return self.min_depth == depth < self.max_depth
 
 
 @attrs.define(kw_only=True)
@@ -91,81 +91,94 @@
 
     slots: int
     cold_start_s: float = 0.0
-    started: float = 0.0
+    started_at: float = 0.0
     limited: bool = True
     ordered: bool = True
     running: int = 0
-    queue: list[Waiting] = attrs.Factory(list)
-    service_s: float = 0.0
+    queue: list[QueuedJob] = attrs.Factory(list)
+    mean_service_time_s: float = 0.0
     level: levels.Level = attrs.Factory(levels.Level)
-    _allowed: float = 0.0
+    _adaptive_limit: float = 0.0
     _sequence: int = 0
     _window_end: float = 0.0
-    _depths_end: float = 0.0
-    _returns_until: float = float("-inf")
-    _peak: int = 0
-    _troubled: bool = False
-    _shed_best: int | None = None
+    _depth_window_end: float = 0.0
+    _nested_reserve_until: float = float("-inf")
+    _peak_running: int = 0
+    _overloaded: bool = False
+    _best_shed_priority: int | None = None
     """The best priority that the queue had no room for in this window."""
-    _waits: float = 0.0
-    _taken: int = 0
-    _depths: Depths = attrs.Factory(lambda: Depths())
-    _offered: dict[int, float] = attrs.Factory(lambda: collections.defaultdict(float))
+    _total_wait_s: float = 0.0
+    _dequeued: int = 0
+    _call_depths: CallDepths = attrs.Factory(lambda: CallDepths())
+    _offered_counts: dict[int, float] = attrs.Factory(
+        lambda: collections.defaultdict(float)
+    )
 
     def __attrs_post_init__(self) -> None:
-        self._allowed = float(self.slots)
+        self._adaptive_limit = float(self.slots)
 
     def limit(self, now: float) -> int:
         """Return how many jobs may run at once."""
         if not self.limited:
             return 1_000_000_000
-        allowed = self._allowed
-        age = now - self.started
+        allowed = self._adaptive_limit
+        age = now - self.started_at
         if self.cold_start_s and age < self.cold_start_s:
-            share = COLD_SHARE + (1 - COLD_SHARE) * age / self.cold_start_s
+            share = COLD_START_RATIO + (1 - COLD_START_RATIO) * age / self.cold_start_s
             allowed = min(allowed, self.slots * share)
         return max(1, int(allowed))
 
     def offer(
-        self, now: float, job: Any, *, number: int, depth: int, expires: float
+        self,
+        now: float,
+        job: Any,
+        *,
+        request_priority: int,
+        depth: int,
+        deadline: float,
     ) -> list[Decision]:
-        """Decide on a new job with priority `number`; others may be refused for it."""
-        self.roll(now)
-        self._depths.add(depth)
-        self._offered[number] += 1.0
+        """Decide on a new job with `request_priority`; others may be refused for it."""
+        self.advance_window(now)
+        self._call_depths.record(depth)
+        self._offered_counts[request_priority] += 1.0
         if not self.limited:
             return [self._start(job)]
-        if self.ordered and not self.level.admits(number):
+        if self.ordered and not self.level.admits(request_priority):
             return [Reject(job=job, reason=messages.Reason.OVERLOAD)]
-        if not self.queue and self._has_room(now, depth):
+        if not self.queue and self._can_start(now, depth):
             return [self._start(job)]
-        waiting = Waiting(
-            order=self._order(number, depth),
+        waiting = QueuedJob(
+            sort_key=self._sort_key(request_priority, depth),
             depth=depth,
             job=job,
-            number=number,
-            since=now,
-            expires=expires,
+            request_priority=request_priority,
+            queued_at=now,
+            deadline=deadline,
         )
-        position = bisect.bisect(self.queue, waiting.order, key=lambda one: one.order)
-        if now + self._wait_at(position, now) + self.service_s > expires:
-            self._note_shed(number)
+        position = bisect.bisect(
+            self.queue, waiting.sort_key, key=lambda one: one.sort_key
+        )
+        if (
+            now + self._expected_wait_s(position, now) + self.mean_service_time_s
+            > deadline
+        ):
+            self._record_shed(request_priority)
             return [Reject(job=job, reason=messages.Reason.OVERLOAD)]
         self.queue.insert(position, waiting)
-        return [*self._fill(now), *self._trim(now)]
+        return [*self._start_queued(now), *self._trim_queue(now)]
 
     def finish(
-        self, now: float, *, service_s: float, troubled: bool = False
+        self, now: float, *, service_time_s: float, overloaded: bool = False
     ) -> list[Decision]:
         """Count a job as finished and start those that have room now."""
         self.running -= 1
-        self._troubled |= troubled
-        weight = SMOOTHING if self.service_s else 1.0
-        self.service_s += weight * (service_s - self.service_s)
-        self.roll(now)
-        return self._fill(now)
+        self._overloaded |= overloaded
+        weight = SERVICE_TIME_EWMA_WEIGHT if self.mean_service_time_s else 1.0
+        self.mean_service_time_s += weight * (service_time_s - self.mean_service_time_s)
+        self.advance_window(now)
+        return self._start_queued(now)
 
-    def withdraw(self, job: Any) -> bool:
+    def remove_queued(self, job: Any) -> bool:
         """Take a job out of the queue; false where it is not there."""
         for index, waiting in enumerate(self.queue):
             if waiting.job is job:
@@ -175,17 +188,19 @@
 
     def expire(self, now: float) -> list[Decision]:
         """Reject the waiting jobs that can't end in time any more."""
-        self.roll(now)
-        late = [one for one in self.queue if now + self.service_s > one.expires]
+        self.advance_window(now)
+        late = [
+            one for one in self.queue if now + self.mean_service_time_s > one.deadline
+        ]
         for waiting in late:
             self.queue.remove(waiting)
         return [
             Reject(job=one.job, reason=messages.Reason.EXPIRED) for one in late
-        ] + self._fill(now)
+        ] + self._start_queued(now)
 
-    def came_back(self, now: float) -> None:
+    def reserve_for_nested(self, now: float) -> None:
         """Note that a request came back to this target while it is worked on here."""
-        self._returns_until = now + RETURNS_KEPT_S
+        self._nested_reserve_until = now + NESTED_RESERVE_S
 
     def load(self, now: float) -> messages.Load:
         """Return how this target stands, for the daemons that call it."""
@@ -193,114 +208,139 @@
             running=self.running,
             queued=len(self.queue),
             limit=self.limit(now) if self.limited else self.slots,
-            service_ms=self.service_s * 1000,
+            service_ms=self.mean_service_time_s * 1000,
             level=self.level.value if self.ordered else priority.TOP_LEVEL,
         )
 
-    def roll(self, now: float) -> None:
+    def advance_window(self, now: float) -> None:
         """Close the window if it is over, and set the limit and the level anew."""
         if now < self._window_end:
             return
-        if now >= self._depths_end:
-            self._depths_end = now + DEPTHS_KEPT_S
-            self._depths = Depths()
+        if now >= self._depth_window_end:
+            self._depth_window_end = now + DEPTH_WINDOW_S
+            self._call_depths = CallDepths()
         self._adapt_limit()
         self._adapt_level(now)
         self._window_end = now + levels.ADJUST_INTERVAL_S
-        self._peak = self.running
-        self._troubled = False
-        self._shed_best = None
-        self._taken = 0
-        self._waits = 0.0
-        self._offered = collections.defaultdict(
+        self._peak_running = self.running
+        self._overloaded = False
+        self._best_shed_priority = None
+        self._dequeued = 0
+        self._total_wait_s = 0.0
+        self._offered_counts = collections.defaultdict(
             float,
             {
-                number: count * DECAY
-                for number, count in self._offered.items()
-                if count > FORGOTTEN
+                number: count * OFFERED_DECAY_RATIO
+                for number, count in self._offered_counts.items()
+                if count > MIN_OFFERED_COUNT
             },
         )
 
     def _adapt_limit(self) -> None:
-        if self._troubled:
-            self._allowed = max(self.slots * MIN_SHARE, self._allowed * DECREASE, 1.0)
-        elif self._peak >= 0.9 * self._allowed:
-            step = max(1.0, self.slots * INCREASE_SHARE)
-            self._allowed = min(float(self.slots), self._allowed + step)
+        if self._overloaded:
+            self._adaptive_limit = max(
+                self.slots * MIN_LIMIT_RATIO,
+                self._adaptive_limit * LIMIT_DECREASE_FACTOR,
+                1.0,
+            )
+        elif self._peak_running >= 0.9 * self._adaptive_limit:
+            step = max(1.0, self.slots * LIMIT_INCREASE_RATIO)
+            self._adaptive_limit = min(float(self.slots), self._adaptive_limit + step)
 
     def _adapt_level(self, now: float) -> None:
-        mean_wait = self._waits / self._taken if self._taken else 0.0
-        busy = mean_wait > WAIT_TARGET_S or len(self.queue) >= self._room() // 2
-        if self._shed_best is not None and busy:
-            wanted = self._served_lately() + self._room() // 4
+        mean_wait = self._total_wait_s / self._dequeued if self._dequeued else 0.0
+        busy = (
+            mean_wait > MAX_MEAN_QUEUE_WAIT_S
+            or len(self.queue) >= self._queue_capacity() // 2
+        )
+        if self._best_shed_priority is not None and busy:
+            wanted = self._windowed_capacity() + self._queue_capacity() // 4
             # No class is closed of which the queue itself has shed none.
-            floor = priority.rank_of(self._shed_best) * priority.BUCKETS_PER_CLASS - 1
-            self.level.lower(now, max(floor, self._level_for(wanted)))
+            floor = (
+                priority.rank_of(self._best_shed_priority) * priority.BUCKETS_PER_CLASS
+                - 1
+            )
+            self.level.lower(now, max(floor, self._level_admitting(wanted)))
             return
         self.level.raise_if_due(now)
 
-    def _level_for(self, wanted: float) -> int:
+    def _level_admitting(self, job_count: float) -> int:
         """Return the level that would have let about `wanted` offered jobs in."""
         total = 0.0
-        for number in sorted(self._offered):
-            total += self._offered[number]
-            if total > wanted:
+        for number in sorted(self._offered_counts):
+            total += self._offered_counts[number]
+            if total > job_count:
                 return number
         return self.level.value
 
-    def _served_lately(self) -> int:
+    def _windowed_capacity(self) -> int:
         """Return about how many jobs end in the time that the offers stand for."""
-        if not self.service_s:
-            return int(self._allowed)
+        if not self.mean_service_time_s:
+            return int(self._adaptive_limit)
         return int(
-            self._allowed * levels.ADJUST_INTERVAL_S / self.service_s / (1 - DECAY)
+            self._adaptive_limit
+            * levels.ADJUST_INTERVAL_S
+            / self.mean_service_time_s
+            / (1 - OFFERED_DECAY_RATIO)
         )
 
-    def _order(self, number: int, depth: int) -> tuple[int, int, int, int]:
+    def _sort_key(self, request_priority: int, depth: int) -> tuple[int, int, int, int]:
         self._sequence += 1
         if not self.ordered:
             return (0, 0, 0, self._sequence)
-        return (priority.rank_of(number), -depth, number, self._sequence)
+        return (
+            priority.rank_of(request_priority),
+            -depth,
+            request_priority,
+            self._sequence,
+        )
 
-    def _note_shed(self, number: int) -> None:
-        if self._shed_best is None or number < self._shed_best:
-            self._shed_best = number
+    def _record_shed(self, request_priority: int) -> None:
+        if (
+            self._best_shed_priority is None
+            or request_priority < self._best_shed_priority
+        ):
+            self._best_shed_priority = request_priority
 
-    def _room(self) -> int:
-        return max(MIN_QUEUE, int(self._allowed * QUEUE_SHARE))
+    def _queue_capacity(self) -> int:
+        return max(
+            MIN_QUEUE_CAPACITY, int(self._adaptive_limit * MAX_QUEUE_TO_LIMIT_RATIO)
+        )
 
-    def _wait_at(self, position: int, now: float) -> float:
-        return (position + 1) * self.service_s / self.limit(now)
+    def _expected_wait_s(self, position: int, now: float) -> float:
+        return (position + 1) * self.mean_service_time_s / self.limit(now)
 
     def _start(self, job: Any) -> Start:
         self.running += 1
-        self._peak = max(self._peak, self.running)
+        self._peak_running = max(self._peak_running, self.running)
         return Start(job=job)
 
-    def _fill(self, now: float) -> list[Decision]:
+    def _start_queued(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
-        while (index := self._next(now)) is not None:
+        while (index := self._next_startable(now)) is not None:
             waiting = self.queue.pop(index)
-            self._taken += 1
-            self._waits += now - waiting.since
-            if now + self.service_s > waiting.expires:
-                self._note_shed(waiting.number)
+            self._dequeued += 1
+            self._total_wait_s += now - waiting.queued_at
+            if now + self.mean_service_time_s > waiting.deadline:
+                self._record_shed(waiting.request_priority)
                 reason = messages.Reason.EXPIRED
                 decisions.append(Reject(job=waiting.job, reason=reason))
                 continue
             decisions.append(self._start(waiting.job))
         return decisions
 
-    def _next(self, now: float) -> int | None:
+    def _next_startable(self, now: float) -> int | None:
         """Return the place in the queue of the first job that there is room for."""
         for index, waiting in enumerate(self.queue):
-            if self._has_room(now, waiting.depth):
+            if self._can_start(now, waiting.depth):
                 return index
-            if now >= self._returns_until or not self._depths.outermost(waiting.depth):
+            if now >= self._nested_reserve_until or not self._call_depths.is_outermost(
+                waiting.depth
+            ):
                 return None
         return None
 
-    def _has_room(self, now: float, depth: int) -> bool:
+    def _can_start(self, now: float, depth: int) -> bool:
         """Return whether a job may start.
 
         Where requests come back to a target that they came through, the outer
@@ -308,23 +348,23 @@
         slots are kept then for calls that are deeper than others.
         """
         limit = self.limit(now)
-        returns = now < self._returns_until
-        if returns and limit > 1 and self._depths.outermost(depth):
-            limit -= max(1, int(limit * KEPT_FOR_INNER))
+        returns = now < self._nested_reserve_until
+        if returns and limit > 1 and self._call_depths.is_outermost(depth):
+            limit -= max(1, int(limit * NESTED_RESERVE_RATIO))
         return self.running < limit
 
-    def _trim(self, now: float) -> list[Decision]:
+    def _trim_queue(self, now: float) -> list[Decision]:
         decisions: list[Decision] = []
-        while len(self.queue) > self._room():
-            top = priority.rank_of(self.queue[-1].number) == priority.TOP_RANK
+        while len(self.queue) > self._queue_capacity():
+            top = priority.rank_of(self.queue[-1].request_priority) == priority.TOP_RANK
             if (
                 self.ordered
                 and top
-                and len(self.queue) <= PROTECTED_QUEUE * self._room()
+                and len(self.queue) <= TOP_CLASS_QUEUE_RATIO * self._queue_capacity()
             ):
                 break
             worst = self.queue.pop()
-            self._note_shed(worst.number)
+            self._record_shed(worst.request_priority)
             reason = messages.Reason.OVERLOAD
             decisions.append(Reject(job=worst.job, reason=reason))
         return decisions
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -154,7 +154,7 @@
         """Work off the messages to itself and a bundle that came in force."""
         if self.rollout.changed:
             self.rollout.changed = False
-            self.serving.target.bundle_changed(now)
+            self.serving.target.apply_bundle(now)
             self.owner.bundle_changed(now)
             self.forwarder.retrying.budgets.clear()
         while self.ctx.to_self:
@@ -167,15 +167,15 @@
             case events.CallReceived():
                 self.forwarder.received(now, event)
             case events.TargetHead():
-                self.serving.runs.head(now, event)
+                self.serving.runs.handle_head(now, event)
             case events.Wake():
                 pass
             case events.PartPassed(conn=conn):
                 self.forwarder.part_passed(conn)
             case events.TargetPart():
-                self.serving.runs.part(now, event)
+                self.serving.runs.handle_part(now, event)
             case events.TargetFailed():
-                self.serving.runs.failed(now, event)
+                self.serving.runs.handle_failure(now, event)
             case events.CallerGone(conn=conn):
                 self.forwarder.gone(now, conn)
             case events.PeerBlocked(box=box, message=message):
@@ -226,7 +226,7 @@
     ) -> None:
         match message:
             case messages.Forward():
-                self.serving.forward(now, sender_of(envelope), message, delay)
+                self.serving.handle_forward(now, sender_of(envelope), message, delay)
             case messages.Answer():
                 self.forwarder.answered(now, envelope, message)
             case messages.Refused():
@@ -234,13 +234,13 @@
             case messages.Uncertain():
                 self.forwarder.uncertain(now, envelope, message)
             case messages.Cancel(attempt=attempt):
-                self.serving.cancel(now, sender_of(envelope), attempt)
+                self.serving.handle_cancel(now, sender_of(envelope), attempt)
             case messages.Part():
-                self.forwarder.streaming.part(now, envelope, message)
+                self.forwarder.streaming.handle_part(now, envelope, message)
             case messages.Credit():
-                self.serving.credit(now, sender_of(envelope), message)
+                self.serving.handle_credit(now, sender_of(envelope), message)
             case messages.Broken():
-                self.forwarder.streaming.broken(now, envelope, message)
+                self.forwarder.streaming.handle_broken(now, envelope, message)
             case _:
                 self._on_control(now, envelope, message)
 
@@ -284,12 +284,12 @@
                 self.forwarder.deadline_over(now, call)
             case forwarding.RetryTimer(call=call):
                 self.forwarder.retry(now, call)
-            case streaming.StreamTimer(call=call):
-                self.forwarder.streaming.stalled(now, call)
-            case serving.ExpireTimer():
-                self.serving.expire(now)
+            case streaming.StreamStallTimer(call=call):
+                self.forwarder.streaming.check_stall(now, call)
+            case serving.ExpiryTimer():
+                self.serving.expire_jobs(now)
             case runs.StallTimer(dispatch=dispatch):
-                self.serving.runs.stalled(now, dispatch)
+                self.serving.runs.check_stall(now, dispatch)
             case membership.DigestTimer():
                 self.members.tick(now)
             case shards.LeaseTimer():
--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -101,11 +101,11 @@
             # This sending cost one, and was answered from memory.
             call.ledger.put_back(1)
         if call.stream is not None:
-            self.streaming.resume(now, call, message)
+            self.streaming.handle_resumed(now, call, message)
             return
         self.ctx.emit(calls.answer(call, envelope.box, message))
         if len(message.body) < message.total:
-            self.streaming.begin(now, call, message)
+            self.streaming.start(now, call, message)
             return
         self.attempts.finish(now, call, effects.Outcome.DONE, "", message.status)
 
@@ -168,7 +168,7 @@
         for call in hit:
             self.router.blocked(now, call.attempt.box)
             if call.stream is not None:
-                self.streaming.break_off(now, call)
+                self.streaming.resume_elsewhere(now, call)
                 continue
             self._lost_attempt(now, call)
 
@@ -242,7 +242,7 @@
         self, now: float, call: calls.Call, box: str, message: messages.Refused
     ) -> None:
         if call.stream is not None:
-            self.streaming.break_off(now, call)
+            self.streaming.resume_elsewhere(now, call)
             return
         if message.reason not in retrying.OWNER_CHANGES:
             call.tried.append(box)
--- a/ferrydeck/signed/core/jobs.py
+++ b/ferrydeck/signed/core/jobs.py
@@ -34,19 +34,19 @@
 
     sender: Sender
     forward: messages.Forward
-    began: float
+    accepted_at: float
     """When the caller's sending came to its entry daemon, on this box's clock."""
-    expires: float
-    entry: keys.Entry | None = None
+    deadline: float
+    key_record: keys.KeyRecord | None = None
     state: JobState = JobState.QUEUED
-    dispatch: int = 0
-    started: float = 0.0
-    token: str = ""
-    offset: int = 0
-    total: int = 0
-    moved_at: float = 0.0
+    dispatch_id: int = 0
+    started_at: float = 0.0
+    run_token: str = ""
+    sent_bytes: int = 0
+    body_bytes: int = 0
+    last_progress_at: float = 0.0
 
 
-def identity(job: Job) -> tuple[str, int, int]:
+def attempt_id(job: Job) -> tuple[str, int, int]:
     """Return what identifies an attempt."""
     return (job.sender.box, job.sender.incarnation, job.forward.attempt)
--- a/ferrydeck/signed/core/keys.py
+++ b/ferrydeck/signed/core/keys.py
@@ -14,7 +14,7 @@
 from ferrydeck.signed.core import hashes
 from ferrydeck.signed.wire import messages
 
-ANSWER_KEPT = 64 * 1024
+MAX_STORED_ANSWER_BYTES = 64 * 1024
 """The longest answer that is remembered, bytes; a longer one is reported as unknown."""
 
 
@@ -30,14 +30,14 @@
 
 
 @attrs.define(kw_only=True)
-class Entry:
+class KeyRecord:
     """One key."""
 
     key: str
     caller: str
     fingerprint: int
     state: KeyState
-    until: float
+    expires_at: float
     jobs: list[Any] = attrs.Factory(list)
     status: int = 0
     headers: tuple[messages.Header, ...] = ()
@@ -64,50 +64,52 @@
 class KeyTable:
     """The keys of all shards that this daemon owns or is about to own."""
 
-    shards: dict[int, dict[str, Entry]] = attrs.Factory(
+    shards: dict[int, dict[str, KeyRecord]] = attrs.Factory(
         lambda: collections.defaultdict(dict)
     )
     count: int = 0
-    _expiry: list[tuple[float, int, str]] = attrs.Factory(list)
+    _expiry_heap: list[tuple[float, int, str]] = attrs.Factory(list)
 
-    def find(self, key: str) -> Entry | None:
+    def find(self, key: str) -> KeyRecord | None:
         """Return the entry of a key, or `None`."""
         return self.shards[shard_of(key)].get(key)
 
-    def add(self, entry: Entry) -> None:
+    def add(self, entry: KeyRecord) -> None:
         """Remember a key until its time is over."""
         shard = shard_of(entry.key)
         if entry.key not in self.shards[shard]:
             self.count += 1
         self.shards[shard][entry.key] = entry
-        heapq.heappush(self._expiry, (entry.until, shard, entry.key))
+        heapq.heappush(self._expiry_heap, (entry.expires_at, shard, entry.key))
 
-    def refuse(self, entry: Entry, now: float, keep_s: float) -> None:
+    def mark_refused(self, entry: KeyRecord, now: float, retention_s: float) -> None:
         """Note that the key was reported as not run."""
         entry.state = KeyState.REFUSED
         entry.refused_at = now
-        entry.until = now + keep_s
-        heapq.heappush(self._expiry, (entry.until, shard_of(entry.key), entry.key))
+        entry.expires_at = now + retention_s
+        heapq.heappush(
+            self._expiry_heap, (entry.expires_at, shard_of(entry.key), entry.key)
+        )
 
-    def in_flight(self, shard: int) -> bool:
+    def has_in_flight(self, shard: int) -> bool:
         """Return whether the fate of any key in the shard is still open."""
         return any(entry.in_flight for entry in self.shards[shard].values())
 
     def expire(self, now: float) -> None:
         """Forget the keys whose time is over."""
-        while self._expiry and self._expiry[0][0] <= now:
-            _, shard, key = heapq.heappop(self._expiry)
+        while self._expiry_heap and self._expiry_heap[0][0] <= now:
+            _, shard, key = heapq.heappop(self._expiry_heap)
             entry = self.shards[shard].get(key)
-            if entry is None or entry.until > now or entry.in_flight:
+            if entry is None or entry.expires_at > now or entry.in_flight:
                 continue
             del self.shards[shard][key]
             self.count -= 1
 
-    def drop(self, shard: int) -> None:
+    def drop_shard(self, shard: int) -> None:
         """Forget a whole shard."""
         self.count -= len(self.shards.pop(shard, {}))
 
-    def export(self, shard: int, now: float) -> tuple[messages.KeyEntry, ...]:
+    def export_shard(self, shard: int, now: float) -> tuple[messages.KeyEntry, ...]:
         """Return the shard's keys as they are handed to a successor."""
         return tuple(
             messages.KeyEntry(
@@ -115,7 +117,7 @@
                 caller=entry.caller,
                 fingerprint=entry.fingerprint,
                 state=entry.state,
-                kept_for_ms=(entry.until - now) * 1000,
+                kept_for_ms=(entry.expires_at - now) * 1000,
                 refused_ago_ms=(now - entry.refused_at) * 1000,
                 status=entry.status,
                 headers=entry.headers,
@@ -124,17 +126,17 @@
             for entry in self.shards[shard].values()
         )
 
-    def take(self, entries: Iterable[messages.KeyEntry], now: float) -> None:
+    def import_entries(self, entries: Iterable[messages.KeyEntry], now: float) -> None:
         """Remember the keys that a predecessor handed over."""
         for given in entries:
             state = KeyState(given.state)
             self.add(
-                Entry(
+                KeyRecord(
                     key=given.key,
                     caller=given.caller,
                     fingerprint=given.fingerprint,
                     state=state,
-                    until=now + given.kept_for_ms / 1000,
+                    expires_at=now + given.kept_for_ms / 1000,
                     status=given.status,
                     headers=given.headers,
                     body=given.body,
--- a/ferrydeck/signed/core/local_target.py
+++ b/ferrydeck/signed/core/local_target.py
@@ -27,7 +27,7 @@
     correlation: correlation.Correlation
     admission: admission.Admission | None = None
 
-    def bundle_changed(self, now: float) -> None:
+    def apply_bundle(self, now: float) -> None:
         """Take the target's size from the bundle in force."""
         service = self.ctx.active.services.get(self.ctx.identity.service)
         if service is None:
@@ -65,12 +65,12 @@
     ) -> admission.Admission:
         fresh = admission.Admission(
             slots=service.slots,
-            started=now if self.admission is None else self.admission.started,
+            started_at=now if self.admission is None else self.admission.started_at,
             limited=self.ctx.policy.limited,
             ordered=self.ctx.policy.ordered,
         )
         if self.admission is not None:
             fresh.running = self.admission.running
             fresh.queue = self.admission.queue
-            fresh.service_s = self.admission.service_s
+            fresh.mean_service_time_s = self.admission.mean_service_time_s
         return fresh
--- a/ferrydeck/signed/core/once.py
+++ b/ferrydeck/signed/core/once.py
@@ -11,19 +11,19 @@
 from ferrydeck.signed.core import context, jobs, keys, ownership, replies, shards
 from ferrydeck.signed.wire import messages
 
-STALE_MARGIN_S = 0.1
+MAX_TRANSIT_S = 0.1
 """Transit that the age of a sending may not show, seconds."""
 
 
 @attrs.define(kw_only=True)
-class Once:
+class KeyedJobs:
     """Starts each key at most once and answers all its sendings."""
 
     ctx: context.Context
     replies: replies.Replies
     owner: shards.ShardOwner
     table: keys.KeyTable
-    parked: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
+    deferred: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
     """Jobs of unknown keys that wait until their shard has moved."""
 
     def admit(self, now: float, job: jobs.Job, reason: messages.Reason | None) -> bool:
@@ -40,32 +40,34 @@
             return False
         entry = self.table.find(job.forward.key)
         if entry is not None and entry.state is not keys.KeyState.REFUSED:
-            self._answer_known(now, job, entry)
+            self._answer_known_key(now, job, entry)
             return False
         if isinstance(claim, ownership.KnownOnly):
             self._answer_unknown_key(now, job, claim)
             return False
-        if entry is not None and job.began - STALE_MARGIN_S <= entry.refused_at:
+        if entry is not None and job.accepted_at - MAX_TRANSIT_S <= entry.refused_at:
             self.replies.reject(now, job, messages.Reason.STALE_SENDING)
             return False
-        return self._new_key(now, job, reason)
+        return self._add_key(now, job, reason)
 
-    def unpark(self) -> list[jobs.Job]:
+    def take_deferred(self) -> list[jobs.Job]:
         """Return the parked jobs, to be decided on again."""
-        parked, self.parked = self.parked, {}
+        parked, self.deferred = self.deferred, {}
         return list(parked.values())
 
-    def leave_waiters(self, now: float, job: jobs.Job, entry: keys.Entry) -> None:
+    def cancel_duplicate(
+        self, now: float, job: jobs.Job, entry: keys.KeyRecord
+    ) -> None:
         """Answer one of several sendings of a key, which itself stays queued."""
         if entry.jobs[0] is job:
             return
         entry.jobs.remove(job)
-        self.replies.jobs.pop(jobs.identity(job), None)
+        self.replies.jobs.pop(jobs.attempt_id(job), None)
         self.replies.uncertain(now, job, messages.Reason.CANCELLED)
 
-    def settle(self, entry: keys.Entry, answer: messages.Answer) -> None:
+    def store_answer(self, entry: keys.KeyRecord, answer: messages.Answer) -> None:
         """Remember the answer of a key and send it to all who wait for it."""
-        kept = len(answer.body) <= keys.ANSWER_KEPT
+        kept = len(answer.body) <= keys.MAX_STORED_ANSWER_BYTES
         entry.state = keys.KeyState.DONE if kept else keys.KeyState.UNCERTAIN
         if kept:
             entry.status = answer.status
@@ -74,7 +76,7 @@
         waiters = entry.jobs[1:]
         entry.jobs = []
         for waiter in waiters:
-            self.replies.jobs.pop(jobs.identity(waiter), None)
+            self.replies.jobs.pop(jobs.attempt_id(waiter), None)
             self.replies.send(
                 waiter,
                 attrs.evolve(
@@ -85,15 +87,19 @@
                 ),
             )
 
-    def lose(self, now: float, entry: keys.Entry, reason: messages.Reason) -> None:
+    def mark_uncertain(
+        self, now: float, entry: keys.KeyRecord, reason: messages.Reason
+    ) -> None:
         """Mark a key as uncertain, and answer all who wait for it."""
         entry.state = keys.KeyState.UNCERTAIN
         for waiter in entry.jobs:
-            self.replies.jobs.pop(jobs.identity(waiter), None)
+            self.replies.jobs.pop(jobs.attempt_id(waiter), None)
             self.replies.uncertain(now, waiter, reason)
         entry.jobs = []
 
-    def _answer_known(self, now: float, job: jobs.Job, entry: keys.Entry) -> None:
+    def _answer_known_key(
+        self, now: float, job: jobs.Job, entry: keys.KeyRecord
+    ) -> None:
         """Answer for a key that has run, runs or waits to run."""
         forward = job.forward
         mark = keys.fingerprint(forward.method, forward.path, forward.body)
@@ -101,14 +107,14 @@
             self.replies.reject(now, job, messages.Reason.KEY_MISMATCH)
             return
         if entry.in_flight:
-            job.entry = entry
+            job.key_record = entry
             entry.jobs.append(job)
-            self.replies.jobs[jobs.identity(job)] = job
+            self.replies.jobs[jobs.attempt_id(job)] = job
             return
         if entry.state is keys.KeyState.UNCERTAIN:
             self.replies.uncertain(now, job, messages.Reason.TARGET_LOST)
             return
-        self.replies.send(job, self._remembered(now, job, entry))
+        self.replies.send(job, self._stored_answer(now, job, entry))
 
     def _answer_unknown_key(
         self, now: float, job: jobs.Job, claim: ownership.KnownOnly
@@ -116,36 +122,36 @@
         """Answer for a key that this owner can't judge."""
         if claim.reason is messages.Reason.MOVING:
             # The move takes some ms; then the successor is known, or it failed.
-            self.parked[jobs.identity(job)] = job
+            self.deferred[jobs.attempt_id(job)] = job
             return
         self.replies.uncertain(now, job, claim.reason, claim.retry_after_s)
 
-    def _new_key(
+    def _add_key(
         self, now: float, job: jobs.Job, reason: messages.Reason | None
     ) -> bool:
         """Remember a key that is not known here; return whether to queue its job."""
         bundle = self.ctx.active.bundle
         forward = job.forward
-        entry = keys.Entry(
+        entry = keys.KeyRecord(
             key=forward.key,
             caller=forward.caller,
             fingerprint=keys.fingerprint(forward.method, forward.path, forward.body),
             state=keys.KeyState.PENDING,
-            until=now + bundle.kept_s,
+            expires_at=now + bundle.kept_s,
             jobs=[job],
         )
         if self.table.count >= bundle.once.max_keys:
             self.replies.reject(now, job, messages.Reason.KEYS_FULL)
             return False
         self.table.add(entry)
-        job.entry = entry
+        job.key_record = entry
         if reason is not None:
             self.replies.reject_all(now, job, reason)
             return False
         return True
 
-    def _remembered(
-        self, now: float, job: jobs.Job, entry: keys.Entry
+    def _stored_answer(
+        self, now: float, job: jobs.Job, entry: keys.KeyRecord
     ) -> messages.Answer:
         return messages.Answer(
             attempt=job.forward.attempt,
--- a/ferrydeck/signed/core/replies.py
+++ b/ferrydeck/signed/core/replies.py
@@ -39,15 +39,15 @@
 
     def reject_all(self, now: float, job: jobs.Job, reason: messages.Reason) -> None:
         """Reject a job, and with it all that wait for the same key."""
-        if job.entry is None:
-            self.jobs.pop(jobs.identity(job), None)
+        if job.key_record is None:
+            self.jobs.pop(jobs.attempt_id(job), None)
             self.reject(now, job, reason)
             return
-        waiters, job.entry.jobs = job.entry.jobs, []
+        waiters, job.key_record.jobs = job.key_record.jobs, []
         keep_s = self.ctx.active.bundle.longest_deadline_s
-        self.table.refuse(job.entry, now, keep_s)
+        self.table.mark_refused(job.key_record, now, keep_s)
         for waiter in waiters:
-            self.jobs.pop(jobs.identity(waiter), None)
+            self.jobs.pop(jobs.attempt_id(waiter), None)
             self.reject(now, waiter, reason)
 
     def uncertain(
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -24,14 +24,14 @@
 )
 from ferrydeck.signed.wire import messages
 
-REMEMBER_S = 60.0
+ATTEMPT_RETENTION_S = 60.0
 """How long the attempts that were seen or cancelled are remembered, seconds."""
-EXPIRE_EVERY_S = 0.05
+EXPIRY_INTERVAL_S = 0.05
 """How often the queue is searched for jobs that are too late, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class ExpireTimer:
+class ExpiryTimer:
     """Time to look for queued jobs that are too late."""
 
 
@@ -45,14 +45,14 @@
     correlation: correlation.Correlation
     target: local_target.LocalTarget = attrs.field(init=False)
     replies: replies.Replies = attrs.field(init=False)
-    once: once.Once = attrs.field(init=False)
+    once: once.KeyedJobs = attrs.field(init=False)
     runs: runs.Runs = attrs.field(init=False)
     jobs: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
-    _seen: recent.RecentSet = attrs.Factory(
-        lambda: recent.RecentSet(retention_s=REMEMBER_S)
+    _seen_attempts: recent.RecentSet = attrs.Factory(
+        lambda: recent.RecentSet(retention_s=ATTEMPT_RETENTION_S)
     )
-    _cancelled: recent.RecentSet = attrs.Factory(
-        lambda: recent.RecentSet(retention_s=REMEMBER_S)
+    _cancelled_attempts: recent.RecentSet = attrs.Factory(
+        lambda: recent.RecentSet(retention_s=ATTEMPT_RETENTION_S)
     )
 
     def __attrs_post_init__(self) -> None:
@@ -62,7 +62,7 @@
         self.replies = replies.Replies(
             ctx=self.ctx, target=self.target, table=self.table, jobs=self.jobs
         )
-        self.once = once.Once(
+        self.once = once.KeyedJobs(
             ctx=self.ctx, replies=self.replies, owner=self.owner, table=self.table
         )
         self.runs = runs.Runs(
@@ -77,35 +77,35 @@
     @property
     def idle(self) -> bool:
         """Return whether no job is queued or running."""
-        return not self.jobs and not self.runs.running and not self.once.parked
+        return not self.jobs and not self.runs.running and not self.once.deferred
 
     def start(self, now: float) -> None:
         """Begin to look for jobs that are too late."""
         if self.ctx.identity.service:
-            self.ctx.at(now + EXPIRE_EVERY_S, ExpireTimer())
+            self.ctx.at(now + EXPIRY_INTERVAL_S, ExpiryTimer())
 
-    def forward(
+    def handle_forward(
         self, now: float, sender: jobs.Sender, forward: messages.Forward, delay: float
     ) -> None:
         """Take an attempt that another daemon, or this one, forwards."""
         identity = (sender.box, sender.incarnation, forward.attempt)
-        if identity in self._seen:
+        if identity in self._seen_attempts:
             self.ctx.count("peer_messages_dropped", "duplicate-attempt")
             return
-        self._seen.add(now, identity)
+        self._seen_attempts.add(now, identity)
         job = jobs.Job(
             sender=sender,
             forward=forward,
-            began=now - delay - forward.age_ms / 1000,
-            expires=now - delay + forward.remaining_ms / 1000,
+            accepted_at=now - delay - forward.age_ms / 1000,
+            deadline=now - delay + forward.remaining_ms / 1000,
         )
-        self._decide(now, job)
+        self._process(now, job)
 
-    def cancel(self, now: float, sender: jobs.Sender, attempt: int) -> None:
+    def handle_cancel(self, now: float, sender: jobs.Sender, attempt: int) -> None:
         """Take back an attempt: reject it if it has not started."""
         identity = (sender.box, sender.incarnation, attempt)
-        self._cancelled.add(now, identity)
-        parked = self.once.parked.pop(identity, None)
+        self._cancelled_attempts.add(now, identity)
+        parked = self.once.deferred.pop(identity, None)
         if parked is not None:
             self.replies.uncertain(now, parked, messages.Reason.CANCELLED)
             return
@@ -117,26 +117,28 @@
             return
         self.runs.cancel(now, job)
 
-    def credit(self, now: float, sender: jobs.Sender, credit: messages.Credit) -> None:
+    def handle_credit(
+        self, now: float, sender: jobs.Sender, credit: messages.Credit
+    ) -> None:
         """Read further parts of a long answer, as the caller takes them."""
         job = self.jobs.get((sender.box, sender.incarnation, credit.attempt))
         if job is not None:
-            self.runs.credit(now, job, credit.parts)
+            self.runs.read_parts(now, job, credit.parts)
 
-    def expire(self, now: float) -> None:
+    def expire_jobs(self, now: float) -> None:
         """Reject the queued jobs that are too late, and decide on parked ones."""
-        self.ctx.at(now + EXPIRE_EVERY_S, ExpireTimer())
+        self.ctx.at(now + EXPIRY_INTERVAL_S, ExpiryTimer())
         if self.target.admission is not None:
-            self.runs.act(now, self.target.admission.expire(now))
-        for job in self.once.unpark():
-            if now >= job.expires:
+            self.runs.apply_decisions(now, self.target.admission.expire(now))
+        for job in self.once.take_deferred():
+            if now >= job.deadline:
                 self.replies.uncertain(now, job, messages.Reason.MOVING)
                 continue
-            self._decide(now, job)
+            self._process(now, job)
 
-    def _decide(self, now: float, job: jobs.Job) -> None:
+    def _process(self, now: float, job: jobs.Job) -> None:
         """Queue, start, park, reject or answer an attempt."""
-        reason = self._fault(now, job)
+        reason = self._rejection_reason(now, job)
         if job.forward.once:
             if self.once.admit(now, job, reason):
                 self._offer(now, job)
@@ -146,14 +148,14 @@
             return
         self._offer(now, job)
 
-    def _fault(self, now: float, job: jobs.Job) -> messages.Reason | None:
+    def _rejection_reason(self, now: float, job: jobs.Job) -> messages.Reason | None:
         """Return why an attempt is rejected whatever its kind, or `None`."""
-        if jobs.identity(job) in self._cancelled:
+        if jobs.attempt_id(job) in self._cancelled_attempts:
             return messages.Reason.CANCELLED
         own = job.forward.service == self.ctx.identity.service
         if self.target.admission is None or not own:
             return messages.Reason.NO_TARGET
-        if job.expires <= now:
+        if job.deadline <= now:
             return messages.Reason.EXPIRED
         if self.ctx.leaving:
             return messages.Reason.LEAVING
@@ -166,24 +168,24 @@
         if sheds and forward.priority > self.target.path_level(now, forward):
             self.replies.reject_all(now, job, messages.Reason.OVERLOAD)
             return
-        self.jobs[jobs.identity(job)] = job
-        if forward.depth and self.runs.at_work(forward.request_id):
-            self.target.admission.came_back(now)
+        self.jobs[jobs.attempt_id(job)] = job
+        if forward.depth and self.runs.is_request_running(forward.request_id):
+            self.target.admission.reserve_for_nested(now)
         decisions = self.target.admission.offer(
             now,
             job,
-            number=forward.priority,
+            request_priority=forward.priority,
             depth=forward.depth,
-            expires=job.expires,
+            deadline=job.deadline,
         )
-        self.runs.act(now, decisions)
+        self.runs.apply_decisions(now, decisions)
 
     def _cancel_queued(self, now: float, job: jobs.Job) -> None:
-        entry = job.entry
+        entry = job.key_record
         if entry is not None and len(entry.jobs) > 1:
-            self.once.leave_waiters(now, job, entry)
+            self.once.cancel_duplicate(now, job, entry)
             return
         if entry is not None and entry.state is keys.KeyState.RUNNING:
             return
-        self.target.admission.withdraw(job)
+        self.target.admission.remove_queued(job)
         self.replies.reject_all(now, job, messages.Reason.CANCELLED)
--- a/ferrydeck/signed/core/shards.py
+++ b/ferrydeck/signed/core/shards.py
@@ -253,14 +253,14 @@
 
     def _send_table(self, now: float, shard: int, owned: ownership.Owned) -> None:
         """Send the table once nothing in it is in flight any more."""
-        if self.table.in_flight(shard):
+        if self.table.has_in_flight(shard):
             return
         peer = self.members.peers.get(owned.moving_to)
         if peer is None or not peer.takes_work:
             owned.move = ownership.Move.NONE
             return
         owned.sending = self.ctx.rng.getrandbits(SENDING_BITS)
-        entries = self.table.export(shard, now)
+        entries = self.table.export_shard(shard, now)
         for part in handover.parts_of(self.service, shard, owned, entries, now):
             self.members.send(peer, part)
         owned.move = ownership.Move.SENT
@@ -323,13 +323,13 @@
         if shard in self.owned:
             return
         incoming = self._incoming.pop(shard, sending)
-        self.table.drop(shard)
+        self.table.drop_shard(shard)
         how = "fresh"
         if incoming is not None:
             how = "with its table"
             quarantine_s = incoming.quarantine_s
             for entries in incoming.parts.values():
-                self.table.take(entries, now)
+                self.table.import_entries(entries, now)
         until = now + quarantine_s
         self.owned[shard] = ownership.Owned(epoch=epoch, quarantine_until=until)
         if quarantine_s:
@@ -346,7 +346,7 @@
     ) -> None:
         """Let go of a shard whose record names the successor."""
         del self.owned[shard]
-        self.table.drop(shard)
+        self.table.drop_shard(shard)
         detail = f"{self.service}/{shard} to {owned.moving_to} epoch {record.epoch}"
         self.ctx.audit("shard-handed", detail)
         peer = self.members.peers.get(owned.moving_to)
--- a/ferrydeck/signed/core/streaming.py
+++ b/ferrydeck/signed/core/streaming.py
@@ -21,12 +21,12 @@
 )
 from ferrydeck.signed.wire import messages
 
-STREAM_STALL_S = 2.0
+STREAM_STALL_TIMEOUT_S = 2.0
 """Time without a part after which the rest is asked of another box, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class StreamTimer:
+class StreamStallTimer:
     """Time to see whether a long answer still moves."""
 
     call: int
@@ -40,15 +40,15 @@
     attempts: attempts.Attempts
     retrying: retrying.Retrying
 
-    def part(
+    def handle_part(
         self, now: float, envelope: messages.Envelope, message: messages.Part
     ) -> None:
         """Pass on a further part of a long answer, if it is the next one."""
-        call = self._call_of(envelope, message.attempt)
+        call = self._find_call(envelope, message.attempt)
         if call is None:
             return
         if call.stream.base + message.offset != call.stream.offset:
-            self.break_off(now, call)
+            self.resume_elsewhere(now, call)
             return
         call.stream.offset += len(message.data)
         call.stream.moved_at = now
@@ -58,26 +58,26 @@
                 now, call, effects.Outcome.DONE, "", call.stream.status
             )
 
-    def broken(
+    def handle_broken(
         self, now: float, envelope: messages.Envelope, message: messages.Broken
     ) -> None:
         """Go on elsewhere with a long answer that broke off."""
-        call = self._call_of(envelope, message.attempt)
+        call = self._find_call(envelope, message.attempt)
         if call is not None:
-            self.break_off(now, call)
+            self.resume_elsewhere(now, call)
 
-    def stalled(self, now: float, number: int) -> None:
+    def check_stall(self, now: float, number: int) -> None:
         """Go on elsewhere with a long answer that has stopped moving."""
         call = self.attempts.by_number.get(number)
         if call is None or call.stream is None:
             return
-        due = call.stream.moved_at + STREAM_STALL_S
+        due = call.stream.moved_at + STREAM_STALL_TIMEOUT_S
         if now < due:
-            self.ctx.at(due, StreamTimer(call=number))
+            self.ctx.at(due, StreamStallTimer(call=number))
             return
-        self.break_off(now, call)
+        self.resume_elsewhere(now, call)
 
-    def begin(self, now: float, call: calls.Call, message: messages.Answer) -> None:
+    def start(self, now: float, call: calls.Call, message: messages.Answer) -> None:
         """Begin to pass a long answer on, after its head and first part."""
         call.stream = calls.Stream(
             status=message.status,
@@ -86,9 +86,11 @@
             etag=headers.first(message.headers, headers.ETAG),
             moved_at=now,
         )
-        self.ctx.at(now + STREAM_STALL_S, StreamTimer(call=call.number))
+        self.ctx.at(now + STREAM_STALL_TIMEOUT_S, StreamStallTimer(call=call.number))
 
-    def _call_of(self, envelope: messages.Envelope, attempt: int) -> calls.Call | None:
+    def _find_call(
+        self, envelope: messages.Envelope, attempt: int
+    ) -> calls.Call | None:
         call = self.attempts.by_attempt.get(attempt)
         if call is None or call.stream is None:
             self.ctx.count("late_answers", "part")
@@ -97,7 +99,7 @@
             return None
         return call
 
-    def break_off(self, now: float, call: calls.Call) -> None:
+    def resume_elsewhere(self, now: float, call: calls.Call) -> None:
         """Ask another box for the rest of a long answer, or end the connection."""
         stream = call.stream
         if call.attempt is not None:
@@ -108,7 +110,7 @@
         if not again or stream.resumed_at == stream.offset:
             self._abort(now, call)
             return
-        call.deadline = max(call.deadline, now + STREAM_STALL_S)
+        call.deadline = max(call.deadline, now + STREAM_STALL_TIMEOUT_S)
         if not self.retrying.spend(now, call):
             self._abort(now, call)
             return
@@ -121,7 +123,9 @@
             return
         self.attempts.begin(now, call, chosen.peer)
 
-    def resume(self, now: float, call: calls.Call, message: messages.Answer) -> None:
+    def handle_resumed(
+        self, now: float, call: calls.Call, message: messages.Answer
+    ) -> None:
         """Go on with a long answer from another box, if it is the same body."""
         stream = call.stream
         ranges = headers.first(message.headers, headers.CONTENT_RANGE)
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -8,9 +8,9 @@
 from tests import worlds
 
 
-def offer(adm, job, *, rank=2, depth=0, expires=10.0, now=0.0):
+def offer(adm, job, *, rank=2, depth=0, deadline=10.0, now=0.0):
     number = rank * priority.BUCKETS_PER_CLASS + 5
-    return adm.offer(now, job, number=number, depth=depth, expires=expires)
+    return adm.offer(now, job, request_priority=number, depth=depth, deadline=deadline)
 
 
 def test_jobs_over_the_limit_wait_and_the_top_class_goes_first():
@@ -18,23 +18,23 @@
     assert offer(adm, "first") == [admission.Start(job="first")]
     assert offer(adm, "lookup") == []
     assert offer(adm, "posting", rank=0) == []
-    assert adm.finish(1.0, service_s=1.0) == [admission.Start(job="posting")]
+    assert adm.finish(1.0, service_time_s=1.0) == [admission.Start(job="posting")]
 
 
 def test_a_queue_that_is_full_refuses_its_last():
     adm = admission.Admission(slots=1)
     offer(adm, "running")
-    for number in range(admission.MIN_QUEUE):
+    for number in range(admission.MIN_QUEUE_CAPACITY):
         assert offer(adm, f"lookup-{number}") == []
     [refused] = offer(adm, "posting", rank=0)
-    assert refused.job == f"lookup-{admission.MIN_QUEUE - 1}"
+    assert refused.job == f"lookup-{admission.MIN_QUEUE_CAPACITY - 1}"
     assert refused.reason is messages.Reason.OVERLOAD
 
 
 def test_a_job_that_can_not_end_in_time_is_refused_at_once():
-    adm = admission.Admission(slots=1, service_s=1.0)
+    adm = admission.Admission(slots=1, mean_service_time_s=1.0)
     offer(adm, "running")
-    [refused] = offer(adm, "late", expires=1.5)
+    [refused] = offer(adm, "late", deadline=1.5)
     assert refused.job == "late"
 
 
@@ -46,12 +46,12 @@
 def test_broken_answers_lower_the_limit_and_a_busy_calm_raises_it():
     adm = admission.Admission(slots=10)
     offer(adm, "job")
-    adm.finish(0.05, service_s=0.05, troubled=True)
-    adm.roll(0.2)
+    adm.finish(0.05, service_time_s=0.05, overloaded=True)
+    adm.advance_window(0.2)
     assert adm.limit(0.2) == 8
     for number in range(8):
         offer(adm, number, now=0.25)
-    adm.roll(0.4)
+    adm.advance_window(0.4)
     assert adm.limit(0.4) == 9
 
 
