--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -179,9 +179,9 @@
             case events.IncomingLinkMessage(link=link, message=message):
                 self._on_incoming(now, link, message)
             case events.TargetAnswered():
-                self.inbound.answered(now, event)
+                self.inbound.target_answered(now, event)
             case events.TargetAnswerPart():
-                self.inbound.part(now, event)
+                self.inbound.target_answer_part(now, event)
             case events.TargetFailed():
                 self.inbound.crashes.request_failed(now, event)
             case events.CallerGone(conn=conn):
@@ -196,9 +196,9 @@
                 self.incoming_links.remove(link)
                 self.inbound.link_down(now, link)
             case events.ProbeAnswered():
-                self.inbound.crashes.probed(now, event)
+                self.inbound.crashes.probe_answered(now, event)
             case events.Heartbeat():
-                self.heartbeats.heartbeat(now, event)
+                self.heartbeats.receive(now, event)
             case events.StoreAnswered(request=request, result=result, era=era):
                 self.registry.answered(now, request, result, era)
             case events.PolicyRead(policy=new, source=source):
@@ -219,7 +219,7 @@
             case request_queue.QueueTimer():
                 self.inbound.check_queue(now)
             case crash_detection.CrashTimer():
-                self.inbound.crashes.judge(now)
+                self.inbound.crashes.resolve_lost_runs(now)
             case tracker.ReportTimer():
                 self.inbound.suspects.report_cleared()
             case target_watch.ProbeTimer():
@@ -230,7 +230,7 @@
             case coordination.SendTimer():
                 self.coordination.send(now)
             case heartbeats.RelayTimer(number=number):
-                self.heartbeats.relayed(number, taken=False)
+                self.heartbeats.end_relay(number, taken=False)
             case leaving.LeaveTimer():
                 self.leaving.check(now)
 
@@ -254,8 +254,8 @@
             return
         budget = self.inbound.retry_budget
         if self.registry.ran_before:
-            budget.started = self._started
-        budget.see_targets(1 + self.peers.targets(self.identity.service))
+            budget.started_at = self._started
+        budget.observe_target_count(1 + self.peers.targets(self.identity.service))
 
     def _outgoing_down(self, now: float, address: str) -> None:
         peer = self.peers.link_down(now, address)
@@ -286,7 +286,7 @@
                 self.policies.request_newer(now, peer, message.version)
             case messages.Welcome():
                 self.peers.handshake_done(now, peer, message)
-                self.inbound.target.peer_report(now, message.left)
+                self.inbound.target.receive_peer_report(now, message.left)
                 self.policies.request_newer(now, peer, message.target_state.version)
             case messages.PolicyRequest():
                 if (reply := self.policies.reply()) is not None:
@@ -294,7 +294,7 @@
             case messages.PolicyReply(raw=raw):
                 self.policies.reply_received(raw, peer.box)
             case messages.HeartbeatAck(number=number, taken=taken):
-                self.heartbeats.relayed(number, taken=taken)
+                self.heartbeats.end_relay(number, taken=taken)
             case messages.TeamGrants():
                 self.coordination.grants_received(now, address, message)
             case messages.SuspectReports(suspects=reports):
@@ -327,7 +327,7 @@
             case messages.PolicyReply(raw=raw):
                 self.policies.reply_received(raw, incoming.box)
             case messages.HeartbeatRelay():
-                self.heartbeats.relay(now, link, message)
+                self.heartbeats.receive_relay(now, link, message)
             case messages.RetryCounts():
                 self.retry_exchange.received(now, incoming.address, message)
             case messages.TeamUsages():
@@ -339,7 +339,7 @@
         self.incoming_links.add(now, link, hello)
         self.peers.add_address(now, hello.address)
         self.peers.protocol_stated(hello.address, hello.protocol)
-        self.inbound.target.peer_report(now, hello.left)
+        self.inbound.target.receive_peer_report(now, hello.left)
         welcome = messages.Welcome(
             box=self.identity.box,
             incarnation=self.identity.incarnation,
--- a/ferrydeck/mesh/inbound/admission.py
+++ b/ferrydeck/mesh/inbound/admission.py
@@ -97,7 +97,7 @@
     if forward.retry is not messages.Retry.MAY_HAVE_RUN:
         return ADMITTED
     makes_calls = shedder.costs.makes_calls(forward.route)
-    if not retries.grants_retry(now, makes_calls=makes_calls):
+    if not retries.grant_rerun(now, makes_calls=makes_calls):
         return Rejected(reason=messages.Reason.RETRY_BUDGET)
     return ADMITTED
 
--- a/ferrydeck/mesh/inbound/correlation.py
+++ b/ferrydeck/mesh/inbound/correlation.py
@@ -30,7 +30,7 @@
 BOUND_SLACK_S = 0.003
 """Requests that state within this of the most that a route's requests ever stated
 are taken as bounded, seconds."""
-RESUMED_S = 0.005
+MAX_RESUME_DELAY_S = 0.005
 """A run whose call was answered this lately is the one that makes the next call,
 seconds: targets that call in turn go on within half a millisecond, and a busy daemon
 reads some milliseconds late. Of forty runs at one target hardly two are so near."""
@@ -78,13 +78,13 @@
     """What is needed of a run."""
 
     deadline: float
-    calls_known: float
+    expected_calls: float
     """Calls that runs of its route make, as far as known; 0 for none."""
     calls: int
     """Its calls that have ended."""
-    calls_out: int
+    open_calls: int
     """Its calls that have not ended."""
-    resumed: float
+    resumed_at: float
     """When it was started, or when the last of its calls ended."""
 
     @property
@@ -120,17 +120,17 @@
         else:
             self.called.discard(route)
 
-    def parent(
-        self, now: float, route: str, stated_s: float, runs: Iterable[R]
+    def find_parent(
+        self, now: float, route: str, remaining_s: float, runs: Iterable[R]
     ) -> Match[R] | None:
         """Return the run that a request is a call of, `None` for a caller's own.
 
-        `stated_s` is the time that the request says it has left, seconds.
+        `remaining_s` is the time that the request says it has left, seconds.
         """
-        longest_s = max(self._longest_s.get(route, 0.0), stated_s)
+        longest_s = max(self._longest_s.get(route, 0.0), remaining_s)
         self._longest_s[route] = longest_s
-        deadline = now + stated_s
-        if route in self.called and stated_s >= longest_s - BOUND_SLACK_S:
+        deadline = now + remaining_s
+        if route in self.called and remaining_s >= longest_s - BOUND_SLACK_S:
             return _of_bounded_call(now, deadline, runs)
         return _of_same_deadline(deadline, runs)
 
@@ -152,7 +152,7 @@
     have made none the one that began first.
     """
     idle = [
-        one for one in runs if one.deadline > deadline - EARLY_S and not one.calls_out
+        one for one in runs if one.deadline > deadline - EARLY_S and not one.open_calls
     ]
     if not idle:
         return None
@@ -164,11 +164,13 @@
 
     Runs that still make calls, by the mean of their route, come first.
     """
-    resumed = [one for one in idle if one.calls and now - one.resumed <= RESUMED_S]
+    resumed = [
+        one for one in idle if one.calls and now - one.resumed_at <= MAX_RESUME_DELAY_S
+    ]
     if not resumed:
         return None
-    calling = [one for one in resumed if one.calls < one.calls_known - HALF_CALL]
-    run = max(calling or resumed, key=lambda one: one.resumed)
+    calling = [one for one in resumed if one.calls < one.expected_calls - HALF_CALL]
+    run = max(calling or resumed, key=lambda one: one.resumed_at)
     return Match(run=run, priority=run.call_priority)
 
 
@@ -179,9 +181,9 @@
     lookup's costs the whole posting: the call gets the highest priority of them.
     """
     new = [one for one in idle if not one.calls] or idle
-    most = max(one.calls_known for one in new)
-    calling = [one for one in new if one.calls_known >= CALLING_SHARE * most]
-    run = min(calling, key=lambda one: one.resumed)
+    most = max(one.expected_calls for one in new)
+    calling = [one for one in new if one.expected_calls >= CALLING_SHARE * most]
+    run = min(calling, key=lambda one: one.resumed_at)
     return Match(run=run, priority=min(one.call_priority for one in calling))
 
 
--- a/ferrydeck/mesh/inbound/crash_handling.py
+++ b/ferrydeck/mesh/inbound/crash_handling.py
@@ -39,7 +39,7 @@
         """Act on a request that gets no whole answer."""
         req = self.runs.by_dispatch.get(event.dispatch)
         if event.refused:
-            self.target.down(now, event.detail)
+            self.target.mark_down(now, event.detail)
         if req is not None and event.sent:
             self._lost(now, req)
         elif req is not None:
@@ -47,12 +47,12 @@
             self.results.send_rejection(now, req, messages.Reason.NOT_SENT)
         if event.refused:
             self.suspects.crash_detector.checked(refused=True)
-            self.judge(now)
+            self.resolve_lost_runs(now)
         self.queue.start_next(now)
 
-    def probed(self, now: float, event: events.ProbeAnswered) -> None:
+    def probe_answered(self, now: float, event: events.ProbeAnswered) -> None:
         """Act on the answer to a health check, or on there being none."""
-        self.target.probed(now, event)
+        self.target.probe_answered(now, event)
         detector = self.suspects.crash_detector
         if not detector.lost:
             return
@@ -60,9 +60,9 @@
             detector.checked(refused=event.refused)
         else:
             self.target.check(now)
-        self.judge(now)
+        self.resolve_lost_runs(now)
 
-    def judge(self, now: float) -> None:
+    def resolve_lost_runs(self, now: float) -> None:
         """Report the lost runs once it is known whether the target crashed."""
         detector = self.suspects.crash_detector
         if not detector.lost:
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -37,7 +37,7 @@
     _relays: dict[int, int] = attrs.Factory(dict)
     """Connections whose heartbeats were relayed, by number."""
 
-    def heartbeat(self, now: float, heartbeat: events.Heartbeat) -> None:
+    def receive(self, now: float, heartbeat: events.Heartbeat) -> None:
         """Act on a heartbeat, or relay it to the daemon beside its target."""
         own = heartbeat.address == self.ctx.identity.target_address
         if own and self._is_of_other_service(heartbeat):
@@ -61,7 +61,9 @@
             return
         self._send_relay(now, peer, heartbeat)
 
-    def relay(self, now: float, link: int, relay: messages.HeartbeatRelay) -> None:
+    def receive_relay(
+        self, now: float, link: int, relay: messages.HeartbeatRelay
+    ) -> None:
         """Act on a heartbeat that another daemon relayed, and acknowledge it."""
         heartbeat = events.Heartbeat(
             conn=0,
@@ -79,7 +81,7 @@
         ack = messages.HeartbeatAck(number=relay.number, taken=True)
         self.ctx.emit(effects.SendBack(link=link, message=ack))
 
-    def relayed(self, number: int, *, taken: bool) -> None:
+    def end_relay(self, number: int, *, taken: bool) -> None:
         """Answer a heartbeat that was relayed, or that has had its time."""
         conn = self._relays.pop(number, None)
         if conn is not None:
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -1,8 +1,8 @@
 """The inbound side of a daemon: the way of a request to the target of its box and back.
 
 `submit` takes a request, asks `admission` whether it may run, and starts it or has it
-wait (`request_queue`). `answered` and `part` send the target's answer back (`results`);
-what the target lost goes to `crash_handling`.
+wait (`request_queue`). `target_answered` and `target_answer_part` send the target's
+answer back (`results`); what the target lost goes to `crash_handling`.
 
 Owns the parts of this side and wires them together. Relies on the driver for effects at
 the target, and on `reply` to carry messages to the daemon where a request began.
@@ -137,7 +137,7 @@
         return messages.Load(
             busy=self.busy,
             service_time_ms=self.service_time_ms,
-            failed_pct=round(100 * self.health.failed_share(now)),
+            failed_pct=round(100 * self.health.failure_ratio(now)),
             prices=self.prices.reports(now),
         )
 
@@ -172,7 +172,7 @@
         suspect = self.suspects.record_of(now, forward)
         match self._admission(now, req, suspect):
             case admission.Rejected(reason=messages.Reason.RETRY_BUDGET as reason):
-                figures = self.retry_budget.figures()
+                figures = self.retry_budget.snapshot()
                 self.results.send_rejection(now, req, reason, inputs=figures)
                 return
             case admission.Rejected(reason=reason):
@@ -195,8 +195,8 @@
         self._update_price(now)
         self.queue.check(now)
 
-    def parent(
-        self, now: float, route: str, stated_s: float, run_id: str = ""
+    def find_parent(
+        self, now: float, route: str, remaining_s: float, run_id: str = ""
     ) -> correlation.Match[inbound_request.InboundRequest] | None:
         """Return the run at this box's target that a request is a call of.
 
@@ -207,7 +207,7 @@
         if named is not None:
             return correlation.Match(run=named, priority=named.call_priority)
         candidates = self.runs.by_dispatch.values()
-        return self.correlator.parent(now, route, stated_s, candidates)
+        return self.correlator.find_parent(now, route, remaining_s, candidates)
 
     def cancel(self, now: float, link: int, number: int) -> None:
         """Drop a request whose caller is gone; one that can't be retried runs on."""
@@ -235,7 +235,7 @@
         if req is not None:
             self.ctx.emit(effects.ReadTarget(dispatch=req.dispatch, size=size))
 
-    def answered(self, now: float, event: events.TargetAnswered) -> None:
+    def target_answered(self, now: float, event: events.TargetAnswered) -> None:
         """Send the target's answer, or the first part of it, back."""
         req = self.runs.by_dispatch.get(event.dispatch)
         if req is None:
@@ -259,7 +259,7 @@
         self.results.send_answer(now, req, event)
         self.queue.start_next(now)
 
-    def part(self, now: float, event: events.TargetAnswerPart) -> None:
+    def target_answer_part(self, now: float, event: events.TargetAnswerPart) -> None:
         """Send a further part of a long answer back."""
         req = self.runs.by_dispatch.get(event.dispatch)
         if req is None:
@@ -279,9 +279,9 @@
             dispatch=self.ctx.number(),
             link=link,
             forward=forward,
-            arrived=now,
+            arrived_at=now,
             deadline=now + left_s,
-            wait_until=now + min(forward.wait_s - delay_s, left_s) - service_time_s,
+            start_by=now + min(forward.wait_s - delay_s, left_s) - service_time_s,
         )
 
     def _count_arrival(self, now: float, forward: messages.Forward) -> None:
@@ -343,7 +343,7 @@
         self.health.count(now, failed=True)
         expected_id = incarnations.id_of(self.target.incarnation)
         if facts.target_id and facts.target_id != expected_id:
-            self.target.replaced(now, facts.target_id)
+            self.target.mark_replaced(now, facts.target_id)
         granted = self._grants_shed(now, req)
         self.results.send_rejection(
             now,
@@ -351,7 +351,7 @@
             messages.Reason.TARGET_REJECTED,
             target_asked=True,
             retry_granted=granted,
-            inputs={} if granted else self.retry_budget.figures(),
+            inputs={} if granted else self.retry_budget.snapshot(),
         )
         self.queue.start_next(now)
 
@@ -361,7 +361,9 @@
             return False
         by_priority = self.ctx.switches.keep_offers_for_urgent
         priority = req.priority if by_priority else 0
-        return self.retry_budget.grants_shed(now, priority, begins=req.forward.begins)
+        return self.retry_budget.grant_shed_retry(
+            now, priority, first_call=req.forward.begins
+        )
 
     def _target_opened(self, now: float) -> None:
         """Announce that the target takes work."""
--- a/ferrydeck/mesh/inbound/inbound_request.py
+++ b/ferrydeck/mesh/inbound/inbound_request.py
@@ -22,40 +22,40 @@
     link: int
     """Number of the link that it came on."""
     forward: messages.Forward
-    arrived: float
+    arrived_at: float
     deadline: float
     """When the caller stops waiting, on this daemon's clock."""
-    wait_until: float
+    start_by: float
     """When it is rejected if it has not been started."""
-    started: float = 0.0
+    started_at: float = 0.0
     streaming: bool = False
     """Whether the first part of a long answer was sent."""
     calls: int = 0
     """Calls of its run that have ended."""
-    calls_known: float = 0.0
+    expected_calls: float = 0.0
     """Calls that runs of its route make, as far as known; 0 for none."""
     call_priority: int = attrs.field(init=False)
     """The priority that its calls have."""
-    calls_out: int = 0
+    open_calls: int = 0
     """Calls of its run that have not ended."""
-    resumed: float = 0.0
+    resumed_at: float = 0.0
     """When its run was started, or when the last of its calls ended."""
-    called: collections.Counter[str] = attrs.Factory(collections.Counter)
+    answered_calls: collections.Counter[str] = attrs.Factory(collections.Counter)
     """Calls of its run that were answered, by route."""
 
     def __attrs_post_init__(self) -> None:
         self.call_priority = self.priority
 
-    def call_begins(self, priority: int) -> None:
+    def call_started(self, priority: int) -> None:
         """Note that its run makes a call, which may have a higher priority."""
-        self.calls_out += 1
+        self.open_calls += 1
         self.call_priority = min(self.call_priority, priority)
 
     def call_ended(self, now: float) -> None:
         """Note that a call of its run has ended."""
         self.calls += 1
-        self.calls_out -= 1
-        self.resumed = now
+        self.open_calls -= 1
+        self.resumed_at = now
 
     @property
     def team(self) -> str:
--- a/ferrydeck/mesh/inbound/load_shedding.py
+++ b/ferrydeck/mesh/inbound/load_shedding.py
@@ -98,7 +98,7 @@
         makes_calls = self.costs.makes_calls(req.forward.route)
         if not makes_calls or not self.ctx.switches.turn_away_failing:
             return
-        late = now > req.arrived + req.forward.objective_s > req.arrived
+        late = now > req.arrived_at + req.forward.objective_s > req.arrived_at
         weight = 1.0 if failed else LATE_WEIGHT * late
         self.shedding.route(req.forward.route).count_answer(now, weight)
 
--- a/ferrydeck/mesh/inbound/pricing.py
+++ b/ferrydeck/mesh/inbound/pricing.py
@@ -143,7 +143,7 @@
     """How long a run holds a slot, seconds."""
     calls: float = 0.0
     """Calls that a run makes."""
-    called: dict[str, float] = attrs.Factory(dict)
+    calls_by_route: dict[str, float] = attrs.Factory(dict)
     """The same by the route that is called."""
     runs: int = 0
     whole_runs: int = 0
@@ -154,7 +154,7 @@
         *,
         service_time_s: float,
         calls: int,
-        called: Mapping[str, int],
+        calls_by_route: Mapping[str, int],
         whole: bool,
     ) -> None:
         """Count a run that ended; one that is not `whole` made a part of its calls."""
@@ -166,9 +166,11 @@
         weight = max(WEIGHT, 1.0 / (1 + self.whole_runs))
         self.whole_runs += 1
         self.calls += weight * (calls - self.calls)
-        for name in self.called.keys() | called.keys():
-            mean = self.called.get(name, 0.0)
-            self.called[name] = mean + weight * (called.get(name, 0) - mean)
+        for name in self.calls_by_route.keys() | calls_by_route.keys():
+            mean = self.calls_by_route.get(name, 0.0)
+            self.calls_by_route[name] = mean + weight * (
+                calls_by_route.get(name, 0) - mean
+            )
 
 
 @attrs.define(kw_only=True)
@@ -206,9 +208,9 @@
 
     def makes_calls(self, name: str) -> bool:
         """Return whether the runs of a route depend on calls."""
-        return self.calls_known(name) > 0
+        return self.expected_calls(name) > 0
 
-    def calls_known(self, name: str) -> float:
+    def expected_calls(self, name: str) -> float:
         """Return the calls that runs of a route make, 0 while not known or few."""
         cost = self.route(name)
         known = cost.runs >= RUNS_LEAST and cost.calls > CALLS_LEAST
@@ -220,7 +222,7 @@
         `service` is the service of this target.
         """
         demand: collections.Counter[str] = collections.Counter()
-        for called, times in self.route(name).called.items():
+        for called, times in self.route(name).calls_by_route.items():
             for other, pct in self._reported_demand.get(called, ()):
                 demand[other] += times * pct / 100
         demand[service] += self.service_time_s(name) / self.mean_service_time_s
@@ -260,12 +262,15 @@
         *,
         service_time_s: float,
         calls: int,
-        called: Mapping[str, int],
+        calls_by_route: Mapping[str, int],
         whole: bool,
     ) -> None:
         """Count a run that ended; one that is not `whole` made a part of its calls."""
         self.route(name).count_run(
-            service_time_s=service_time_s, calls=calls, called=called, whole=whole
+            service_time_s=service_time_s,
+            calls=calls,
+            calls_by_route=calls_by_route,
+            whole=whole,
         )
         self.ended_runs += 1
         weight = max(WEIGHT, 1.0 / (1 + self.ended_runs))
--- a/ferrydeck/mesh/inbound/request_queue.py
+++ b/ferrydeck/mesh/inbound/request_queue.py
@@ -87,7 +87,7 @@
         self.waiting.push(req.priority, req, weight_s)
         inputs = Inputs(
             wait_s=wait_s,
-            patience_s=req.wait_until - now,
+            patience_s=req.start_by - now,
             waiting=len(self.waiting),
             limit=limit,
         )
@@ -134,9 +134,9 @@
     def check(self, now: float) -> None:
         """Reject what has waited too long."""
         self._timer_set = False
-        for req in [one for one in self.waiting if now >= one.wait_until]:
+        for req in [one for one in self.waiting if now >= one.start_by]:
             self._drop(now, req)
-        for req in [one for one in self.suspects.isolation if now >= one.wait_until]:
+        for req in [one for one in self.suspects.isolation if now >= one.start_by]:
             self.reject_suspect(now, req, messages.Reason.SUSPECT)
         self.start_next(now)
         self._set_timer(now)
--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -138,7 +138,7 @@
             running=len(self.runs),
             waiting=len(self.waiting),
             limit=self.runs.limit,
-            left_ms=round(1000 * (req.deadline - req.arrived)),
+            left_ms=round(1000 * (req.deadline - req.arrived_at)),
             **inputs,
         )
 
--- a/ferrydeck/mesh/inbound/retry_budget.py
+++ b/ferrydeck/mesh/inbound/retry_budget.py
@@ -64,10 +64,10 @@
     slack: float
     """Agreed retries in a window without any request, over the whole service."""
     window_s: float
-    started: float = float("-inf")
+    started_at: float = float("-inf")
     """When this daemon started, where one ran on its box before: what that one has
     granted is not known."""
-    targets: int = 0
+    target_count: int = 0
     """Targets of the service; never less than were ever seen, 0 while not known."""
     _first: collections.Counter[int] = attrs.Factory(collections.Counter)
     """Requests by step that came here first."""
@@ -95,9 +95,9 @@
     _allowed: list[float] = attrs.Factory(list)
     """The bounds of the windows that end with this step and with each later one."""
 
-    def see_targets(self, count: int) -> None:
+    def observe_target_count(self, count: int) -> None:
         """Note how many targets the service has; this one's part only shrinks."""
-        self.targets = max(self.targets, count)
+        self.target_count = max(self.target_count, count)
 
     def count_request(self, now: float, priority: int) -> None:
         """Count a request that no inbound side has received before."""
@@ -115,10 +115,12 @@
         self._advance(now)
         self._granted[self._step] += 1
 
-    def grants_shed(self, now: float, priority: int, *, begins: bool = False) -> bool:
+    def grant_shed_retry(
+        self, now: float, priority: int, *, first_call: bool = False
+    ) -> bool:
         """Return whether a request that was shed may be retried, and count it.
 
-        `begins` says that it is the first call of a run: while there are too few
+        `first_call` says that it is the first call of a run: while there are too few
         retries for all of its priority, they go to runs that are under way. A run that
         ends at its first call costs little, and the retries of one that ends at its
         last call are all lost.
@@ -128,12 +130,12 @@
         self._asked[self._step, priority] += 1
         if self._left(self._asked_per_s(priority)) < 1.0:
             return False
-        if begins and self._left(self._asked_per_s(priority + 1)) < 0.0:
+        if first_call and self._left(self._asked_per_s(priority + 1)) < 0.0:
             return False
         self._granted[self._step] += 1
         return True
 
-    def grants_retry(self, now: float, *, makes_calls: bool) -> bool:
+    def grant_rerun(self, now: float, *, makes_calls: bool) -> bool:
         """Return whether a request that may have run before may run, and count it."""
         self._advance(now)
         left = self._left()
@@ -148,7 +150,7 @@
     @property
     def period(self) -> int:
         """Steps between two reports."""
-        return max(1, math.ceil(self.targets / TARGETS_A_STEP))
+        return max(1, math.ceil(self.target_count / TARGETS_A_STEP))
 
     def report(self, now: float) -> tuple[list[int], list[int]] | None:
         """Return requests and retries by step, the newest whole one first.
@@ -172,12 +174,12 @@
         self.others.received(self._step, address, requests, retries)
         self._renew_quota()
 
-    def figures(self) -> dict[str, float]:
+    def snapshot(self) -> dict[str, float]:
         """Return what the next grant hangs on, for the log and the metrics."""
         return {
             "granted": sum(self._granted.values()),
             "allowed": round(min(self._allowed, default=0.0), 1),
-            "targets": self.targets,
+            "targets": self.target_count,
         }
 
     def _left(self, kept_per_s: float = 0.0) -> float:
@@ -211,8 +213,8 @@
         requests = self._sums(self._first, self.others.requests)
         own = {one: count for one, count in self._granted.items() if one < begins}
         granted = self._sums(own, self.others.retries)
-        known = min(len(self.others), max(0, self.targets - 1))
-        slack = self.slack * SLACK_SHARE * known / max(1, self.targets)
+        known = min(len(self.others), max(0, self.target_count - 1))
+        slack = self.slack * SLACK_SHARE * known / max(1, self.target_count)
         least = float("inf")
         for end in self._ends:
             ends = (end, end - window // 2, end - window)
@@ -301,9 +303,9 @@
         There is none in a window in which another daemon of this box may have spent
         it, nor while it is not known how many others have one.
         """
-        if not self.targets or end * STEP_S - self.window_s < self.started:
+        if not self.target_count or end * STEP_S - self.window_s < self.started_at:
             return 0.0
-        return self.slack * SLACK_SHARE / self.targets
+        return self.slack * SLACK_SHARE / self.target_count
 
     def _count_first(self, after: int, until: int) -> int:
         return sum(
--- a/ferrydeck/mesh/inbound/runs.py
+++ b/ferrydeck/mesh/inbound/runs.py
@@ -84,14 +84,14 @@
         if not self.by_dispatch:
             return 0.0
         oldest = next(iter(self.by_dispatch.values()))
-        return now - max(oldest.started, self.answered_at)
+        return now - max(oldest.started_at, self.answered_at)
 
     def start(self, now: float, req: inbound_request.InboundRequest) -> None:
         """Send a request to the target."""
-        req.started = now
-        req.resumed = now
+        req.started_at = now
+        req.resumed_at = now
         forward = req.forward
-        req.calls_known = self.costs.calls_known(forward.route)
+        req.expected_calls = self.costs.expected_calls(forward.route)
         self.retry_budget.count_dispatch(now)
         self.by_dispatch[req.dispatch] = req
         self._by_request_id[forward.request_id] = req
@@ -121,8 +121,8 @@
         self.forget(req)
         self.costs.count_run(
             req.forward.route,
-            service_time_s=now - req.started,
+            service_time_s=now - req.started_at,
             calls=req.calls,
-            called=req.called,
+            calls_by_route=req.answered_calls,
             whole=whole,
         )
--- a/ferrydeck/mesh/inbound/target_watch.py
+++ b/ferrydeck/mesh/inbound/target_watch.py
@@ -108,7 +108,7 @@
         self._probing = True
         self.ctx.emit(effects.Probe(path=service.health_path))
 
-    def probed(self, now: float, event: events.ProbeAnswered) -> None:
+    def probe_answered(self, now: float, event: events.ProbeAnswered) -> None:
         """Open a target that is well, not leaving, and whose incarnation is known."""
         self._probing = False
         if (
@@ -146,7 +146,7 @@
             return HeartbeatResult.OTHER_TARGET
         return self._ready(now, heartbeat)
 
-    def peer_report(self, now: float, left: list[str]) -> None:
+    def receive_peer_report(self, now: float, left: list[str]) -> None:
         """Act on another daemon's report of the incarnations that have left."""
         for incarnation in left:
             if incarnation not in self.left:
@@ -155,7 +155,7 @@
             self._peer_reported = True
             self.probe(now)
 
-    def replaced(self, now: float, target_id: str) -> None:
+    def mark_replaced(self, now: float, target_id: str) -> None:
         """Close until the incarnation that answers now sends heartbeats or is well."""
         self.ctx.note("server-changed", instance=target_id, expected=self.incarnation)
         self.phase = messages.Phase.UNKNOWN
@@ -164,7 +164,7 @@
         self.closed(now, messages.Reason.WRONG_INCARNATION)
         self.probe(now)
 
-    def down(self, now: float, detail: str) -> None:
+    def mark_down(self, now: float, detail: str) -> None:
         """Close for a target that takes no connection, until its next heartbeat."""
         if self.phase is not messages.Phase.READY:
             return
--- a/ferrydeck/mesh/members/peers.py
+++ b/ferrydeck/mesh/members/peers.py
@@ -90,7 +90,7 @@
 
     def failed(self, now: float) -> float:
         """Return the share of requests that its target likely fails now."""
-        return health.faded(self.reported_failed, now - self.reported_at)
+        return health.decayed(self.reported_failed, now - self.reported_at)
 
     def busy(self, now: float) -> float:
         """Return how many requests are likely there now."""
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -122,11 +122,11 @@
 
 
 def _retry_values(core: core.Core) -> dict[str, float]:
-    figures = core.inbound.retry_budget.figures()
+    state = core.inbound.retry_budget.snapshot()
     return {
-        "retries_granted": figures["granted"],
-        "retries_allowed": figures["allowed"],
-        "retry_targets": figures["targets"],
+        "retries_granted": state["granted"],
+        "retries_allowed": state["allowed"],
+        "retry_targets": state["targets"],
     }
 
 
--- a/ferrydeck/mesh/outbound/choosing.py
+++ b/ferrydeck/mesh/outbound/choosing.py
@@ -187,7 +187,7 @@
         Where all fail alike the cause lies behind them, and a retry at another target
         would only add to it. `peer` is `None` for the target of this box.
         """
-        own = self.inbound.health.failed_share(now)
+        own = self.inbound.health.failure_ratio(now)
         failed = own if peer is None else peer.failed(now)
         group = self._group(now, service)
         usual = self._usual_failures(now, service, [*group.near, *group.far])
@@ -200,7 +200,7 @@
             False,
             now < own.target.cold_until,
             own.service_time_ms,
-            own.health.failed_share(now),
+            own.health.failure_ratio(now),
             group,
         )
 
@@ -260,7 +260,7 @@
             if one.open and now - one.reported_at <= RECENT_S
         ]
         if self.ctx.identity.service == service:
-            shares.append(self.inbound.health.failed_share(now))
+            shares.append(self.inbound.health.failure_ratio(now))
         if not shares:
             return 0.0
         shares.sort()
--- a/ferrydeck/mesh/outbound/intake.py
+++ b/ferrydeck/mesh/outbound/intake.py
@@ -78,10 +78,12 @@
         """Return the run that a request is a call of, `None` for a caller's own."""
         if request.deadline_s is None:
             return None
-        match = self.inbound.parent(now, route.name, request.deadline_s, request.run_id)
+        match = self.inbound.find_parent(
+            now, route.name, request.deadline_s, request.run_id
+        )
         if match is None:
             return None
-        match.run.call_begins(match.priority)
+        match.run.call_started(match.priority)
         return match.run
 
     def _waited_s(self, route: policy.Route, request: events.RequestReceived) -> float:
--- a/ferrydeck/mesh/outbound/reports.py
+++ b/ferrydeck/mesh/outbound/reports.py
@@ -38,7 +38,7 @@
             costs = self.inbound.costs
             costs.set_demand(req.route.name, message.demand, sheddable=req.lowest)
             if req.parent is not None:
-                req.parent.called[req.route.name] += 1
+                req.parent.answered_calls[req.route.name] += 1
 
     def prices_received(
         self, now: float, peer: peers.Peer, load: messages.Load
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.asked = 0
 
-    def grants_retry(self, now: float, *, makes_calls: bool) -> bool:
+    def grant_rerun(self, now: float, *, makes_calls: bool) -> bool:
         self.asked += 1
         return False
 
--- a/tests/mesh/test_correlation.py
+++ b/tests/mesh/test_correlation.py
@@ -10,10 +10,10 @@
     name: str
     deadline: float
     call_priority: int = 1
-    calls_known: float = 4.0
+    expected_calls: float = 4.0
     calls: int = 0
-    calls_out: int = 0
-    resumed: float = 0.0
+    open_calls: int = 0
+    resumed_at: float = 0.0
 
 
 RUNS = [Run(name="a", deadline=5.3), Run(name="b", deadline=5.5)]
@@ -21,8 +21,8 @@
 
 def test_a_call_ends_with_its_run():
     correlator = correlation.CallCorrelator()
-    assert correlator.parent(5.0, "call", 0.5, RUNS).run.name == "b"
-    assert correlator.parent(5.1, "call", 0.199, RUNS).run.name == "a"
+    assert correlator.find_parent(5.0, "call", 0.5, RUNS).run.name == "b"
+    assert correlator.find_parent(5.1, "call", 0.199, RUNS).run.name == "a"
 
 
 def test_of_two_runs_that_end_together_the_more_urgent_is_taken():
@@ -31,48 +31,49 @@
         Run(name="high", deadline=5.5, call_priority=0),
     ]
     assert (
-        correlation.CallCorrelator().parent(5.0, "call", 0.5, runs).run.name == "high"
+        correlation.CallCorrelator().find_parent(5.0, "call", 0.5, runs).run.name
+        == "high"
     )
 
 
 def test_a_request_of_a_caller_ends_later_than_any_run():
-    assert correlation.CallCorrelator().parent(5.0, "look", 5.0, RUNS) is None
+    assert correlation.CallCorrelator().find_parent(5.0, "look", 5.0, RUNS) is None
 
 
 def test_a_bounded_call_belongs_to_a_run_that_ends_later():
     correlator = correlation.CallCorrelator()
     correlator.set_called("call", called=True)
-    assert correlator.parent(5.0, "call", 0.4, RUNS).run.name == "b"
+    assert correlator.find_parent(5.0, "call", 0.4, RUNS).run.name == "b"
     # It states less than its bound and ends with no run: it is no call of these.
-    assert correlator.parent(5.0, "call", 0.25, RUNS) is None
+    assert correlator.find_parent(5.0, "call", 0.25, RUNS) is None
 
 
 def bounded() -> correlation.CallCorrelator:
     correlator = correlation.CallCorrelator()
     correlator.set_called("call", called=True)
-    correlator.parent(0.0, "call", 0.7, [])
+    correlator.find_parent(0.0, "call", 0.7, [])
     return correlator
 
 
 def test_a_bounded_call_belongs_to_the_run_whose_call_was_just_answered():
     runs = [
-        Run(name="first", deadline=7.0, resumed=5.0),
-        Run(name="waits", deadline=7.1, calls=1, resumed=4.9),
-        Run(name="goes-on", deadline=7.3, calls=2, resumed=4.9995),
-        Run(name="has-made-all", deadline=7.3, calls=4, resumed=4.9998),
-        Run(name="is-calling", deadline=7.2, calls=1, calls_out=1, resumed=4.9999),
+        Run(name="first", deadline=7.0, resumed_at=5.0),
+        Run(name="waits", deadline=7.1, calls=1, resumed_at=4.9),
+        Run(name="goes-on", deadline=7.3, calls=2, resumed_at=4.9995),
+        Run(name="has-made-all", deadline=7.3, calls=4, resumed_at=4.9998),
+        Run(name="is-calling", deadline=7.2, calls=1, open_calls=1, resumed_at=4.9999),
     ]
-    assert bounded().parent(5.0, "call", 0.7, runs).run.name == "goes-on"
+    assert bounded().find_parent(5.0, "call", 0.7, runs).run.name == "goes-on"
 
 
 def test_a_first_bounded_call_belongs_to_a_new_run_of_a_route_that_makes_calls():
     runs = [
-        Run(name="calls-none", deadline=6.0, calls_known=0.0),
+        Run(name="calls-none", deadline=6.0, expected_calls=0.0),
         Run(name="has-called", deadline=6.1, calls=1),
-        Run(name="new", deadline=6.5, resumed=4.9),
-        Run(name="newer", deadline=6.4, resumed=4.95, call_priority=0),
+        Run(name="new", deadline=6.5, resumed_at=4.9),
+        Run(name="newer", deadline=6.4, resumed_at=4.95, call_priority=0),
     ]
-    match = bounded().parent(5.0, "call", 0.7, runs)
+    match = bounded().find_parent(5.0, "call", 0.7, runs)
     assert match.run.name == "new"
     # It may as well be the other one's, and that one's must not be shed.
     assert match.priority == 0
@@ -82,7 +83,7 @@
     correlator = correlation.CallCorrelator()
     correlator.set_called("look", called=True)
     correlator.set_called("look", called=False)
-    assert correlator.parent(5.0, "look", 0.4, RUNS) is None
+    assert correlator.find_parent(5.0, "look", 0.4, RUNS) is None
 
 
 def test_routes_that_one_service_sends_are_told_from_those_of_all():
--- a/tests/mesh/test_health.py
+++ b/tests/mesh/test_health.py
@@ -10,18 +10,18 @@
     held = health.Health()
     for step in range(50):
         held.count(step * 0.01, failed=True)
-    assert held.failed_share(0.5) > 0.9
+    assert held.failure_ratio(0.5) > 0.9
     for step in range(50):
         held.count(0.5 + step * 0.01, failed=False)
-    assert held.failed_share(1.0) < 0.1
+    assert held.failure_ratio(1.0) < 0.1
 
 
 def test_it_halves_while_nothing_ends():
     held = health.Health()
     for _ in range(50):
         held.count(1.0, failed=True)
-    now = held.failed_share(1.0)
-    assert held.failed_share(1.0 + health.HALF_S) == pytest.approx(now / 2)
+    now = held.failure_ratio(1.0)
+    assert held.failure_ratio(1.0 + health.HALF_LIFE_S) == pytest.approx(now / 2)
 
 
 def test_a_daemon_avoids_a_failing_server_that_it_never_asked():
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -35,7 +35,7 @@
 
 
 def opened(watch, **more) -> None:
-    watch.replaced(2.0, "i-a")
+    watch.mark_replaced(2.0, "i-a")
     for sequence in (900, 901, 902):
         watch.heartbeat(2.0, heartbeat(sequence, **more))
     assert watch.phase is messages.Phase.READY
@@ -43,7 +43,7 @@
 
 def test_a_server_back_under_its_id_opens_by_its_first_report(watch):
     opened(watch)
-    watch.down(3.0, "refused")
+    watch.mark_down(3.0, "refused")
     watch.heartbeat(4.0, heartbeat(1, born=BORN + 3000))
     assert watch.phase is messages.Phase.READY
     assert watch.incarnation == incarnations.name("i-a", BORN + 3000)
@@ -71,7 +71,7 @@
 def test_a_server_without_birth_works_as_before(watch):
     opened(watch, born=0)
     assert watch.incarnation == "i-a"
-    watch.down(3.0, "refused")
+    watch.mark_down(3.0, "refused")
     watch.heartbeat(4.0, heartbeat(1, born=0))
     assert watch.phase is messages.Phase.DOWN
     watch.heartbeat(4.0, heartbeat(903, born=0))
@@ -79,10 +79,10 @@
 
 
 def test_a_health_check_does_not_open_for_an_id_of_which_a_lifetime_left(watch):
-    watch.peer_report(2.0, [incarnations.name("i-z", BORN)])
-    watch.replaced(2.0, "i-z")
+    watch.receive_peer_report(2.0, [incarnations.name("i-z", BORN)])
+    watch.mark_replaced(2.0, "i-z")
     well = events.ProbeAnswered(well=True, target_id="i-z", slots=8)
-    watch.probed(2.1, well)
+    watch.probe_answered(2.1, well)
     assert watch.phase is messages.Phase.UNKNOWN
     watch.heartbeat(2.2, heartbeat(1, target_id="i-z", born=BORN + 5))
     watch.heartbeat(2.3, heartbeat(2, target_id="i-z", born=BORN + 5))
@@ -119,12 +119,12 @@
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_a_server_that_a_health_check_opened_leaves_by_its_first_report(watch, gone):
-    watch.replaced(2.0, "i-a")
-    watch.probed(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
+    watch.mark_replaced(2.0, "i-a")
+    watch.probe_answered(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
     assert watch.phase is messages.Phase.READY
     watch.heartbeat(2.2, heartbeat(1, ready=False, gone=gone))
     assert watch.phase is messages.Phase.LEAVING
-    watch.probed(2.3, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
+    watch.probe_answered(2.3, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
     watch.heartbeat(2.4, heartbeat(2))
     assert watch.phase is messages.Phase.LEAVING
 
@@ -132,8 +132,8 @@
 def test_a_report_that_is_late_does_not_open_for_an_id_that_left_without_its_birth(
     watch,
 ):
-    watch.replaced(2.0, "i-a")
-    watch.probed(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
+    watch.mark_replaced(2.0, "i-a")
+    watch.probe_answered(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
     watch.heartbeat(2.2, heartbeat(0, born=0, ready=False, gone=True))
     watch.heartbeat(2.5, heartbeat(7))
     assert watch.phase is messages.Phase.LEAVING
--- a/tests/mesh/test_pricing.py
+++ b/tests/mesh/test_pricing.py
@@ -85,7 +85,11 @@
     for _ in range(200):
         for name, service_time_s in holds.items():
             costs.count_run(
-                name, service_time_s=service_time_s, calls=0, called={}, whole=True
+                name,
+                service_time_s=service_time_s,
+                calls=0,
+                calls_by_route={},
+                whole=True,
             )
     return costs
 
@@ -101,7 +105,7 @@
     costs.set_demand("call", [("deep", 50), ("plan", 100)])
     for _ in range(20):
         costs.count_run(
-            "look", service_time_s=0.1, calls=4, called={"call": 4}, whole=True
+            "look", service_time_s=0.1, calls=4, calls_by_route={"call": 4}, whole=True
         )
     assert costs.makes_calls("look")
     assert costs.demand("desk", "look") == {"desk": 1.0, "deep": 2.0, "plan": 4.0}
@@ -110,7 +114,9 @@
 def test_the_newest_word_on_what_a_called_route_uses_counts_at_once():
     # A gate that lets in four runs a second can't wait for twenty of them.
     costs = pricing.Costs(initial_service_time_s=0.1)
-    costs.count_run("look", service_time_s=0.1, calls=4, called={"call": 4}, whole=True)
+    costs.count_run(
+        "look", service_time_s=0.1, calls=4, calls_by_route={"call": 4}, whole=True
+    )
     costs.set_demand("call", [("plan", 100)])
     costs.set_demand("call", [("plan", 100), ("deep", 400)])
     assert costs.demand("desk", "look")["deep"] == 16.0
@@ -131,14 +137,18 @@
     costs = pricing.Costs(initial_service_time_s=0.1)
     for _ in range(50):
         costs.count_run(
-            "look", service_time_s=0.1, calls=4, called={"call": 4}, whole=True
+            "look", service_time_s=0.1, calls=4, calls_by_route={"call": 4}, whole=True
         )
     for _ in range(500):
         costs.count_run(
-            "look", service_time_s=0.01, calls=1, called={"call": 1}, whole=False
+            "look",
+            service_time_s=0.01,
+            calls=1,
+            calls_by_route={"call": 1},
+            whole=False,
         )
     assert costs.route("look").calls == 4
-    assert costs.route("look").called == {"call": 4}
+    assert costs.route("look").calls_by_route == {"call": 4}
 
 
 def test_a_route_without_known_runs_makes_no_calls():
--- a/tests/mesh/test_retry_budget.py
+++ b/tests/mesh/test_retry_budget.py
@@ -5,9 +5,9 @@
 RATIO, SLACK, WINDOW_S = 0.2, 48.0, 10.0
 
 
-def made(targets: int = 1) -> retry_budget.RetryBudget:
+def made(target_count: int = 1) -> retry_budget.RetryBudget:
     return retry_budget.RetryBudget(
-        ratio=RATIO, slack=SLACK, window_s=WINDOW_S, targets=targets
+        ratio=RATIO, slack=SLACK, window_s=WINDOW_S, target_count=target_count
     )
 
 
@@ -26,7 +26,7 @@
         if step % 2000 < 700:
             repeats.count_request(now, 1)
             firsts.append(now)
-        if repeats.grants_shed(now, 1):
+        if repeats.grant_shed_retry(now, 1):
             granted.append(now)
     for end in range(10, 61):
         spent = sum(end - WINDOW_S < one <= end for one in granted)
@@ -40,7 +40,7 @@
     repeats = made()
     ask(repeats, 0.0, 10.0, 100)
     granted = sum(
-        repeats.grants_shed(10.5 + number * 0.005, 0) for number in range(1000)
+        repeats.grant_shed_retry(10.5 + number * 0.005, 0) for number in range(1000)
     )
     # Windows that end 7.5 s later have three quarters of the requests at best.
     bound = RATIO * retry_budget.SHARE * 750 + SLACK * retry_budget.SLACK_SHARE
@@ -53,7 +53,7 @@
     for number in range(100):
         repeats.count_retry(10.0 + number * 0.001)
     granted = sum(
-        repeats.grants_shed(10.5 + number * 0.005, 0) for number in range(1000)
+        repeats.grant_shed_retry(10.5 + number * 0.005, 0) for number in range(1000)
     )
     assert granted < RATIO * 1000 - 100
 
@@ -68,8 +68,8 @@
         now = 10.5 + number * 0.005
         for _ in range(4):
             repeats.count_dispatch(now)
-        first += repeats.grants_shed(now, 0, begins=True)
-        later += repeats.grants_shed(now, 0)
+        first += repeats.grant_shed_retry(now, 0, first_call=True)
+        later += repeats.grant_shed_retry(now, 0)
     assert later > 100
     assert first < 10
 
@@ -82,14 +82,14 @@
         now = 10.5 + number * 0.005
         for _ in range(50):
             repeats.count_dispatch(now)
-        granted += repeats.grants_shed(now, 0, begins=True)
+        granted += repeats.grant_shed_retry(now, 0, first_call=True)
     assert granted == 20
 
 
 def shed_half(repeats: retry_budget.RetryBudget, now: float, priority: int) -> bool:
     repeats.count_dispatch(now)
     repeats.count_dispatch(now)
-    return repeats.grants_shed(now, priority)
+    return repeats.grant_shed_retry(now, priority)
 
 
 def test_urgent_requests_get_offers_before_the_others():
@@ -109,15 +109,15 @@
     ask(repeats, 0.0, 10.0, 100)
     for number in range(100):
         repeats.count_dispatch(10.5 + number * 0.001)
-    assert repeats.grants_shed(10.6, 0)
-    assert repeats.grants_shed(10.6, 1)
+    assert repeats.grant_shed_retry(10.6, 0)
+    assert repeats.grant_shed_retry(10.6, 1)
 
 
 def test_gates_share_the_slack_also_when_some_are_not_seen_any_more():
     repeats = made()
-    repeats.see_targets(4)
-    repeats.see_targets(2)
-    granted = sum(repeats.grants_shed(0.6, 0) for _ in range(100))
+    repeats.observe_target_count(4)
+    repeats.observe_target_count(2)
+    granted = sum(repeats.grant_shed_retry(0.6, 0) for _ in range(100))
     assert granted == int(SLACK * retry_budget.SLACK_SHARE / 4)
 
 
@@ -129,15 +129,15 @@
         for inbound in targets:
             inbound.count_request(now, 1)
             requests += 1
-            granted += inbound.grants_retry(now, makes_calls=False)
-            granted += inbound.grants_shed(now, 1)
+            granted += inbound.grant_rerun(now, makes_calls=False)
+            granted += inbound.grant_shed_retry(now, 1)
     assert 0 < granted <= RATIO * requests + SLACK
 
 
 def test_without_requests_only_the_slack_is_spent():
     targets = [made(4) for _ in range(4)]
     granted = sum(
-        inbound.grants_retry(step * 0.1, makes_calls=False)
+        inbound.grant_rerun(step * 0.1, makes_calls=False)
         for step in range(100)
         for inbound in targets
     )
@@ -149,7 +149,7 @@
     for one in (calling, plain):
         ask(one, 0.0, 10.0, 100)
     granted = [
-        sum(one.grants_retry(10.0, makes_calls=calls) for _ in range(500))
+        sum(one.grant_rerun(10.0, makes_calls=calls) for _ in range(500))
         for one, calls in ((calling, True), (plain, False))
     ]
     assert 0 < granted[0] < 0.4 * granted[1]
--- a/tests/mesh/test_retry_parts.py
+++ b/tests/mesh/test_retry_parts.py
@@ -21,12 +21,14 @@
         self.requests: list[float] = []
         self.retries: list[float] = []
 
-    def side(self, started: float, targets: int = TARGETS) -> retry_budget.RetryBudget:
+    def side(
+        self, started_at: float, targets: int = TARGETS
+    ) -> retry_budget.RetryBudget:
         made = retry_budget.RetryBudget(
-            ratio=RATIO, slack=SLACK, window_s=WINDOW_S, started=started
+            ratio=RATIO, slack=SLACK, window_s=WINDOW_S, started_at=started_at
         )
         if targets:
-            made.see_targets(targets)
+            made.observe_target_count(targets)
         return made
 
     def request(self, now: float, index: int) -> None:
@@ -34,7 +36,7 @@
         self.requests.append(now)
 
     def retry(self, now: float, index: int) -> None:
-        if self.sides[index].grants_retry(now, makes_calls=False):
+        if self.sides[index].grant_rerun(now, makes_calls=False):
             self.retries.append(now)
 
     def exchange(self, now: float) -> None:
@@ -160,7 +162,7 @@
     world.run(12.0)
     budget = alone.core.inbound.retry_budget
     now = world.clock(alone)
-    granted = sum(budget.grants_retry(now, makes_calls=False) for _ in range(50))
+    granted = sum(budget.grant_rerun(now, makes_calls=False) for _ in range(50))
     assert granted == 0
 
 
@@ -172,4 +174,4 @@
     world.links.cut = lambda one, other: alone in (one, other)
     world.kill(alone, 0.2)
     world.run(12.0)
-    assert alone.core.inbound.retry_budget.targets == 5
+    assert alone.core.inbound.retry_budget.target_count == 5
