--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -29,7 +29,7 @@
 )
 from ferrydeck.mesh.outbound import choosing, intake, outbound
 from ferrydeck.mesh.poison import crash_detection, records, tracker
-from ferrydeck.mesh.teams import access, coordination, policy_freshness, quota
+from ferrydeck.mesh.teams import access, policy_freshness, quota, quota_exchange
 
 SETTLE_S = 0.7
 """How long a daemon that starts looks for other daemons before it reports itself
@@ -46,12 +46,12 @@
     switches: switches.Switches = switches.Switches()
     seeds: tuple[str, ...] = ()
     ctx: context.Context = attrs.field(init=False)
-    peers: peer_table.Peers = attrs.field(init=False)
+    peers: peer_table.PeerTable = attrs.field(init=False)
     inbound: inbound.Inbound = attrs.field(init=False)
     outbound: outbound.Outbound = attrs.field(init=False)
     registry: registry.Registry = attrs.field(init=False)
     policy_freshness: policy_freshness.PolicyFreshness = attrs.field(init=False)
-    coordination: coordination.QuotaCoordination = attrs.field(init=False)
+    coordination: quota_exchange.QuotaExchange = attrs.field(init=False)
     heartbeats: heartbeats.Heartbeats = attrs.field(init=False)
     incoming_links: incoming_links.IncomingLinks = attrs.field(init=False)
     policies: policy_distribution.PolicyDistribution = attrs.field(init=False)
@@ -67,7 +67,7 @@
             switches=self.switches,
         )
         self.ctx = ctx
-        self.peers = peer_table.Peers(ctx=ctx)
+        self.peers = peer_table.PeerTable(ctx=ctx)
         self.incoming_links = incoming_links.IncomingLinks(ctx=ctx)
         suspects = tracker.PoisonTracker(
             ctx=ctx, records=records.SuspectRecords(), report=self._send_suspects
@@ -76,10 +76,10 @@
             ctx=ctx, reply=self._reply, announce=self._announce, suspects=suspects
         )
         self.policy_freshness = policy_freshness.PolicyFreshness(
-            revoke_s=self.limits.revoke_s
+            revocation_timeout_s=self.limits.revoke_s
         )
         quota_enforcer = quota.QuotaEnforcer(rng=self.rng)
-        self.coordination = coordination.QuotaCoordination(
+        self.coordination = quota_exchange.QuotaExchange(
             ctx=ctx, peers=self.peers, quota_enforcer=quota_enforcer
         )
         self.outbound = outbound.Outbound(
@@ -88,7 +88,7 @@
             peers=self.peers,
             chooser=choosing.Chooser(ctx=ctx, peers=self.peers, inbound=self.inbound),
             inbound=self.inbound,
-            access=access.Access(
+            access=access.AccessControl(
                 ctx=ctx,
                 policy_freshness=self.policy_freshness,
                 quota_enforcer=quota_enforcer,
@@ -104,7 +104,7 @@
             inbound=self.inbound,
             splits=self.outbound.intake.splits,
             policy_freshness=self.policy_freshness,
-            coordination=self.coordination,
+            quota_exchange=self.coordination,
         )
         self.retry_exchange = retry_exchange.RetryExchange(
             ctx=ctx,
@@ -116,18 +116,18 @@
         )
         self.registry = registry.Registry(
             ctx=ctx,
-            offer_policy=self.policies.put_in_force,
-            boxes_found=self.peers.replace_records,
+            on_policy=self.policies.apply,
+            on_records=self.peers.replace_records,
             data_centre_rank=self.peers.data_centre_rank,
-            linked=self.peers.linked,
-            cut_off=self.peers.cut_off,
+            any_link_up=self.peers.any_link_up,
+            is_partitioned=self.peers.is_partitioned,
             policy_freshness=self.policy_freshness,
         )
 
     def start(self, now: float) -> list[effects.Effect]:
         """Return the effects of the start."""
         self._started = now
-        self.coordination.quota_enforcer.started = now
+        self.coordination.quota_enforcer.started_at = now
         self.inbound.target.start(now)
         self.seeds_changed(now, self.seeds)
         self.peers.start(now)
@@ -153,16 +153,16 @@
         """Return whether callers of this box may send requests here."""
         if self.ctx.policy is None or self.ctx.stopping:
             return False
-        if self.ctx.policy.teams and not self.policy_freshness.holds(now):
+        if self.ctx.policy.teams and not self.policy_freshness.is_fresh(now):
             # A daemon that knows whether keys still count serves callers better.
             return False
         if now - self._started >= SETTLE_S:
             return True
-        return self.registry.seen_boxes and self._all_linked()
+        return self.registry.records_read and self._all_linked()
 
     def _all_linked(self) -> bool:
         known = self.peers.by_address.values()
-        return all(peer.link is peers.Link.UP for peer in known)
+        return all(peer.link_state is peers.LinkState.UP for peer in known)
 
     def _collect(self, now: float) -> list[effects.Effect]:
         while (timer := self.ctx.due(now)) is not None:
@@ -200,9 +200,9 @@
             case events.Heartbeat():
                 self.heartbeats.receive(now, event)
             case events.StoreAnswered(request=request, result=result, era=era):
-                self.registry.answered(now, request, result, era)
+                self.registry.answer_received(now, request, result, era)
             case events.PolicyRead(policy=new, source=source):
-                self.policies.put_in_force(now, new, source)
+                self.policies.apply(now, new, source)
             case events.StopRequested():
                 self.leaving.begin(now)
             case events.Wake():
@@ -224,11 +224,11 @@
                 self.inbound.suspects.report_cleared()
             case target_watch.ProbeTimer():
                 self.inbound.target.probe(now)
-            case peer_table.PeersTimer():
+            case peer_table.LinkCheckTimer():
                 self._tick_peers(now)
                 self.registry.step(now)
-            case coordination.SendTimer():
-                self.coordination.send(now)
+            case quota_exchange.QuotaReportTimer():
+                self.coordination.send_reports(now)
             case heartbeats.RelayTimer(number=number):
                 self.heartbeats.end_relay(number, taken=False)
             case leaving.LeaveTimer():
@@ -237,11 +237,11 @@
     def _tick_peers(self, now: float) -> None:
         self._count_targets(now)
         self.retry_exchange.tick(now)
-        linked = [peer for peer in self.peers.by_address.values() if peer.out]
-        self.peers.tick(now)
-        self.policies.ask_for_confirmation(now)
+        linked = [peer for peer in self.peers.by_address.values() if peer.in_flight]
+        self.peers.check_links(now)
+        self.policies.refresh_confirmation(now)
         for peer in linked:
-            if peer.link is peers.Link.DOWN:
+            if peer.link_state is peers.LinkState.DOWN:
                 self.outbound.link_down(now, peer)
 
     def _count_targets(self, now: float) -> None:
@@ -250,12 +250,12 @@
         Others may be unknown until the records were read, and the daemons that start
         together have found each other.
         """
-        if not self.registry.seen_boxes or now - self._started < SETTLE_S:
+        if not self.registry.records_read or now - self._started < SETTLE_S:
             return
         budget = self.inbound.retry_budget
-        if self.registry.ran_before:
+        if self.registry.has_restarted:
             budget.started_at = self._started
-        budget.observe_target_count(1 + self.peers.targets(self.identity.service))
+        budget.observe_target_count(1 + self.peers.count_targets(self.identity.service))
 
     def _outgoing_down(self, now: float, address: str) -> None:
         peer = self.peers.link_down(now, address)
@@ -278,21 +278,23 @@
                 self.outbound.broken(now, peer, message)
             case messages.Pong(version=version, load=load):
                 self.policies.pong_received(message)
-                peer.load_received(now, load)
+                peer.update_load(now, load)
                 self.outbound.reports.prices_received(now, peer, load)
-                self.policies.request_newer(now, peer, version)
+                self.policies.request_newer_policy(now, peer, version)
             case messages.TargetState():
                 self.peers.update_target_state(now, peer, message)
-                self.policies.request_newer(now, peer, message.version)
+                self.policies.request_newer_policy(now, peer, message.version)
             case messages.Welcome():
                 self.peers.handshake_done(now, peer, message)
                 self.inbound.target.receive_peer_report(now, message.left)
-                self.policies.request_newer(now, peer, message.target_state.version)
+                self.policies.request_newer_policy(
+                    now, peer, message.target_state.version
+                )
             case messages.PolicyRequest():
-                if (reply := self.policies.reply()) is not None:
+                if (reply := self.policies.policy_reply()) is not None:
                     self.peers.send(now, peer, reply)
             case messages.PolicyReply(raw=raw):
-                self.policies.reply_received(raw, peer.box)
+                self.policies.policy_received(raw, peer.box)
             case messages.HeartbeatAck(number=number, taken=taken):
                 self.heartbeats.end_relay(number, taken=taken)
             case messages.TeamGrants():
@@ -306,26 +308,26 @@
         if isinstance(message, messages.Hello):
             self._hello_received(now, link, message)
             return
-        incoming = self.incoming_links.by_number.get(link)
+        incoming = self.incoming_links.by_id.get(link)
         if incoming is None:
             return
         match message:
             case messages.Forward():
-                delay_s = incoming.delay_s(now, message.sent_s)
+                delay_s = incoming.excess_delay_s(now, message.sent_s)
                 self.inbound.submit(now, link, message, delay_s)
             case messages.Cancel(number=number):
                 self.inbound.cancel(now, link, number)
             case messages.Credit(number=number, size=size):
                 self.inbound.credit(link, number, size)
             case messages.Ping():
-                incoming.delay_s(now, message.sent_s)
-                self.incoming_links.send(link, self.policies.pong(now, message))
-                self.policies.request_newer_back(now, link, message.version)
+                incoming.excess_delay_s(now, message.sent_s)
+                self.incoming_links.send(link, self.policies.make_pong(now, message))
+                self.policies.request_newer_policy_back(now, link, message.version)
             case messages.PolicyRequest():
-                if (reply := self.policies.reply()) is not None:
+                if (reply := self.policies.policy_reply()) is not None:
                     self.incoming_links.send(link, reply)
             case messages.PolicyReply(raw=raw):
-                self.policies.reply_received(raw, incoming.box)
+                self.policies.policy_received(raw, incoming.box)
             case messages.HeartbeatRelay():
                 self.heartbeats.receive_relay(now, link, message)
             case messages.RetryCounts():
@@ -338,14 +340,14 @@
     def _hello_received(self, now: float, link: int, hello: messages.Hello) -> None:
         self.incoming_links.add(now, link, hello)
         self.peers.add_address(now, hello.address)
-        self.peers.protocol_stated(hello.address, hello.protocol)
+        self.peers.set_protocol_version(hello.address, hello.protocol)
         self.inbound.target.receive_peer_report(now, hello.left)
         welcome = messages.Welcome(
             box=self.identity.box,
             incarnation=self.identity.incarnation,
             data_centre=self.identity.data_centre,
             target_state=self.inbound.state(now),
-            left=self.peers.left_at(hello.box),
+            left=self.peers.departed_incarnations(hello.box),
             sent_s=now,
         )
         self.incoming_links.send(link, welcome)
@@ -356,7 +358,7 @@
             and self.switches.compress_far
         ):
             self.ctx.emit(effects.DeflateBack(link=link))
-        self.policies.request_newer_back(now, link, hello.version)
+        self.policies.request_newer_policy_back(now, link, hello.version)
 
     def _reply(
         self, now: float, req: inbound_request.InboundRequest, message: messages.Any
@@ -377,8 +379,8 @@
 
     def _announce(self, now: float) -> None:
         """Send the target state of this box to all linked daemons."""
-        self.policies.announce(now)
+        self.policies.broadcast_state(now)
 
     def _send_suspects(self, reports: list[messages.SuspectReport]) -> None:
         """Send what was learned of requests under which targets crashed."""
-        self.incoming_links.send_all(messages.SuspectReports(suspects=reports))
+        self.incoming_links.broadcast(messages.SuspectReports(suspects=reports))
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -4,7 +4,7 @@
 the daemon there, and acknowledged once that one has acted on it.
 
 Owns the relays that wait for an acknowledgement. Relies on `TargetWatch` to act on
-heartbeats, and on `Peers` to find the daemon beside a target.
+heartbeats, and on `PeerTable` to find the daemon beside a target.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
     """Acts on heartbeats of this box's target, and relays all others."""
 
     ctx: context.Context
-    peers: peer_table.Peers
+    peers: peer_table.PeerTable
     inbound: inbound.Inbound
     _relays: dict[int, int] = attrs.Factory(dict)
     """Connections whose heartbeats were relayed, by number."""
@@ -55,7 +55,7 @@
             self._ack(heartbeat.conn, taken=True)
             return
         peer = self._peer_beside(heartbeat)
-        if peer is None or peer.link is not peers.Link.UP:
+        if peer is None or peer.link_state is not peers.LinkState.UP:
             self.ctx.note("report", outcome="refused", instance=heartbeat.target_id)
             self._ack(heartbeat.conn, taken=False)
             return
@@ -123,7 +123,7 @@
     def _peer_beside(self, heartbeat: events.Heartbeat) -> peers.Peer | None:
         """Return the daemon beside the target of a heartbeat, by address or by id."""
         if ip := heartbeat.address.rpartition(":")[0]:
-            return self.peers.at_ip(ip)
+            return self.peers.find_by_ip(ip)
         for peer in self.peers.by_address.values():
             state = peer.target_state
             if state is None:
--- a/ferrydeck/mesh/inbound/retry_exchange.py
+++ b/ferrydeck/mesh/inbound/retry_exchange.py
@@ -20,7 +20,7 @@
     """Sends this side's counts, and takes those of the others."""
 
     ctx: context.Context
-    peers: peer_table.Peers
+    peers: peer_table.PeerTable
     budget: retry_budget.RetryBudget
     _reported: int = 0
     """The period of the last report."""
@@ -45,6 +45,6 @@
         self.budget.report_received(now, address, counts.requests, counts.retries)
 
     def _takes_counts(self, peer: peers.Peer) -> bool:
-        linked = peer.link is peers.Link.UP
-        known = peer.protocol >= messages.RETRY_PROTOCOL
+        linked = peer.link_state is peers.LinkState.UP
+        known = peer.protocol_version >= messages.RETRY_PROTOCOL
         return linked and known and peer.service == self.ctx.identity.service
--- a/ferrydeck/mesh/members/suspicion.py
+++ b/ferrydeck/mesh/members/failure_detector.py
@@ -11,32 +11,32 @@
 
 from ferrydeck.mesh.members import peers
 
-PING_IDLE_S = 1.0
+MIN_IDLE_PING_INTERVAL_S = 1.0
 """A link on which nothing was sent for this long gets a ping, seconds: an idle
 fleet of 15 then sends 14 small messages a second from each daemon."""
-PINGS_PER_S = 15.0
+MAX_IDLE_PINGS_PER_S = 15.0
 """Pings of idle links that a daemon sends at most, a second: with many daemons idle
 links are asked less often, so that the cost of a daemon does not grow with them."""
-PING_WAITING_S = 0.15
+UNANSWERED_PING_DELAY_S = 0.15
 """A link on which nothing came for this long after something was sent gets a ping,
 seconds: most answers of the users' sheets take longer, so one ping a request."""
-PING_OUT_S = 0.3
+IN_FLIGHT_PING_DELAY_S = 0.3
 """A link with requests out on which nothing came for this long gets a ping, seconds:
 they are moved elsewhere 0.6 s after it, if it stays silent."""
-SUSPECT_S = 0.35
+SUSPECT_TIMEOUT_S = 0.35
 """Silence after which a box is suspect and is sent nothing new, seconds: three ticks
 and the pause of a busy loop."""
-SILENT_S = 0.6
+SILENT_TIMEOUT_S = 0.6
 """Silence after which a request that may run twice is sent to another box, seconds."""
-HANG_UP_S = 1.5
+LINK_TIMEOUT_S = 1.5
 """Silence after which a link is dialled anew, seconds: the kernel would wait longer and
 longer before it sends again what a network cut has swallowed."""
-FORGET_S = 10.0
+PEER_REMOVAL_TIMEOUT_S = 10.0
 """A box without record and link is forgotten after this long, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Keep:
+class KeepLink:
     """Leave a link as it is."""
 
 
@@ -46,80 +46,84 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class HangUp:
+class CloseLink:
     """Close a link, to be dialled anew."""
 
     reason: str
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Forget:
+class RemovePeer:
     """Remove a daemon from the table."""
 
 
-Step = Keep | Dial | HangUp | Forget
-KEEP = Keep()
+Action = KeepLink | Dial | CloseLink | RemovePeer
+KEEP_LINK = KeepLink()
 DIAL = Dial()
-FORGET = Forget()
-SILENT = HangUp(reason="silent")
-NO_HANDSHAKE = HangUp(reason="no greeting")
+REMOVE_PEER = RemovePeer()
+CLOSE_SILENT = CloseLink(reason="silent")
+CLOSE_DIAL_TIMEOUT = CloseLink(reason="no greeting")
 
 
-def next_step(now: float, peer: peers.Peer) -> Step:
+def next_action(now: float, peer: peers.Peer) -> Action:
     """Return what is due for the link to a daemon."""
-    match peer.link:
-        case peers.Link.UP:
-            return SILENT if _silence_s(now, peer) > HANG_UP_S else KEEP
-        case peers.Link.DIALLING | peers.Link.HANDSHAKE:
-            return NO_HANDSHAKE if now >= peer.dial_at else KEEP
-    unlisted_since = max(peer.unlisted_at, peer.received_at)
-    if not peer.listed and now - unlisted_since > FORGET_S:
-        return FORGET
-    return DIAL if now >= peer.dial_at else KEEP
-
-
-def suspect(now: float, peer: peers.Peer) -> bool:
+    match peer.link_state:
+        case peers.LinkState.UP:
+            return (
+                CLOSE_SILENT if _unanswered_s(now, peer) > LINK_TIMEOUT_S else KEEP_LINK
+            )
+        case peers.LinkState.DIALLING | peers.LinkState.HANDSHAKE:
+            return CLOSE_DIAL_TIMEOUT if now >= peer.dial_timer_at else KEEP_LINK
+    unlisted_since = max(peer.not_in_store_since, peer.last_received_at)
+    if not peer.in_store and now - unlisted_since > PEER_REMOVAL_TIMEOUT_S:
+        return REMOVE_PEER
+    return DIAL if now >= peer.dial_timer_at else KEEP_LINK
+
+
+def is_suspect(now: float, peer: peers.Peer) -> bool:
     """Return whether a box is silent for so long that nothing new is sent there."""
-    return now - peer.waiting_since > SUSPECT_S
+    return now - peer.unanswered_since > SUSPECT_TIMEOUT_S
 
 
-def silent(now: float, peer: peers.Peer) -> bool:
+def is_silent(now: float, peer: peers.Peer) -> bool:
     """Return whether requests at a box are to be sent to other ones, if they may be."""
-    return now - peer.waiting_since >= SILENT_S
+    return now - peer.unanswered_since >= SILENT_TIMEOUT_S
 
 
-def wants_ping(now: float, peer: peers.Peer, idle_s: float) -> bool:
+def ping_due(now: float, peer: peers.Peer, idle_s: float) -> bool:
     """Return whether a daemon is to be asked for a sign of life.
 
     `idle_s` is how long a link may rest, seconds (`longest_rest_s`).
     """
-    if now - peer.sent_at >= idle_s * peer.spread:
+    if now - peer.last_sent_at >= idle_s * peer.ping_jitter:
         return True
-    unasked = peer.pinged_at < peer.waiting_since
-    if unasked and _silence_s(now, peer) >= PING_WAITING_S:
+    unasked = peer.last_pinged_at < peer.unanswered_since
+    if unasked and _unanswered_s(now, peer) >= UNANSWERED_PING_DELAY_S:
         return True
-    return bool(peer.out) and _rest_s(now, peer) >= PING_OUT_S
+    return bool(peer.in_flight) and _idle_s(now, peer) >= IN_FLIGHT_PING_DELAY_S
 
 
-def wants_ping_beside_suspect(now: float, peer: peers.Peer) -> bool:
+def ping_due_near_suspect(now: float, peer: peers.Peer) -> bool:
     """Return whether a daemon is asked as another one of its data centre is suspect.
 
     The data centre may be cut off: without a ping each of its boxes would be found
     silent by a request of its own.
     """
-    return peer.link is peers.Link.UP and _rest_s(now, peer) > SUSPECT_S
+    return (
+        peer.link_state is peers.LinkState.UP and _idle_s(now, peer) > SUSPECT_TIMEOUT_S
+    )
 
 
-def longest_rest_s(daemons: int) -> float:
+def idle_ping_interval_s(daemons: int) -> float:
     """Return how long a link may rest before it gets a ping, seconds."""
-    return max(PING_IDLE_S, daemons / PINGS_PER_S)
+    return max(MIN_IDLE_PING_INTERVAL_S, daemons / MAX_IDLE_PINGS_PER_S)
 
 
-def _silence_s(now: float, peer: peers.Peer) -> float:
+def _unanswered_s(now: float, peer: peers.Peer) -> float:
     """Return how long a message has been without a reply; negative for none."""
-    return now - peer.waiting_since
+    return now - peer.unanswered_since
 
 
-def _rest_s(now: float, peer: peers.Peer) -> float:
+def _idle_s(now: float, peer: peers.Peer) -> float:
     """Return for how long nothing was sent or received, seconds."""
-    return now - max(peer.received_at, peer.sent_at)
+    return now - max(peer.last_received_at, peer.last_sent_at)
--- a/ferrydeck/mesh/members/incoming_links.py
+++ b/ferrydeck/mesh/members/incoming_links.py
@@ -18,14 +18,14 @@
     box: str
     address: str
     """Where that daemon takes links."""
-    floor_s: float = float("inf")
+    min_clock_difference_s: float = float("inf")
     """The least difference of the two clocks seen on it, seconds."""
 
-    def delay_s(self, now: float, sent_s: float) -> float:
+    def excess_delay_s(self, now: float, sent_s: float) -> float:
         """Return how long a message took beyond the least time seen, seconds."""
         difference = now - sent_s
-        self.floor_s = min(self.floor_s, difference)
-        return difference - self.floor_s
+        self.min_clock_difference_s = min(self.min_clock_difference_s, difference)
+        return difference - self.min_clock_difference_s
 
 
 @attrs.define(kw_only=True)
@@ -33,23 +33,23 @@
     """The table of the links that other daemons dialled."""
 
     ctx: context.Context
-    by_number: dict[int, IncomingLink] = attrs.Factory(dict)
+    by_id: dict[int, IncomingLink] = attrs.Factory(dict)
 
     def add(self, now: float, number: int, hello: messages.Hello) -> None:
         """Take the daemon that sends a `Hello` as the other end of a link."""
         link = IncomingLink(box=hello.box, address=hello.address)
-        link.delay_s(now, hello.sent_s)
-        self.by_number[number] = link
+        link.excess_delay_s(now, hello.sent_s)
+        self.by_id[number] = link
 
     def remove(self, number: int) -> None:
         """Forget a link that ended."""
-        self.by_number.pop(number, None)
+        self.by_id.pop(number, None)
 
     def send(self, number: int, message: messages.Any) -> None:
         """Send a message on one link."""
         self.ctx.emit(effects.SendBack(link=number, message=message))
 
-    def send_all(self, message: messages.Any) -> None:
+    def broadcast(self, message: messages.Any) -> None:
         """Send a message on each link."""
-        for number in self.by_number:
+        for number in self.by_id:
             self.send(number, message)
--- a/ferrydeck/mesh/members/peers.py
+++ b/ferrydeck/mesh/members/peers.py
@@ -12,13 +12,13 @@
 from ferrydeck.mesh import messages
 from ferrydeck.mesh.inbound import health
 
-REDIAL_S = 0.25
+MIN_REDIAL_DELAY_S = 0.25
 """Pause before a lost link is dialled again, seconds."""
-REPORT_FADES_S = 0.5
+LOAD_REPORT_TTL_S = 0.5
 """How long a reported load counts, seconds; it fades over that time."""
 
 
-class Link(enum.Enum):
+class LinkState(enum.Enum):
     """State of the link to a daemon."""
 
     DOWN = "down"
@@ -35,64 +35,64 @@
     box: str = ""
     incarnation: int = 0
     data_centre: str = ""
-    protocol: int = 0
+    protocol_version: int = 0
     """The version of the protocol that it speaks; 0 until it has dialled here."""
     service: str = ""
     """The service of its target, as its record or the daemon itself states it."""
-    link: Link = Link.DOWN
+    link_state: LinkState = LinkState.DOWN
     target_state: messages.TargetState | None = None
     cold_until: float = 0.0
     """Until when its target is still slow after its start."""
-    listed: bool = False
+    in_store: bool = False
     """Whether its record is in the store, as far as known."""
-    received_at: float = -1e9
-    sent_at: float = -1e9
-    pinged_at: float = -1e9
-    waiting_since: float = float("inf")
+    last_received_at: float = -1e9
+    last_sent_at: float = -1e9
+    last_pinged_at: float = -1e9
+    unanswered_since: float = float("inf")
     """When the first message was sent after which nothing was received."""
-    spread: float = 1.0
+    ping_jitter: float = 1.0
     """What its idle time is multiplied by, so that pings do not go out together."""
-    suspected: bool = False
+    was_suspect: bool = False
     """Whether it was suspect when last looked at."""
-    dial_at: float = 0.0
+    dial_timer_at: float = 0.0
     """When it may be dialled; while it is, when the dial is given up."""
-    dial_pause_s: float = REDIAL_S
-    unlisted_at: float = 0.0
-    out: dict[int, float] = attrs.Factory(dict)
+    redial_delay_s: float = MIN_REDIAL_DELAY_S
+    not_in_store_since: float = 0.0
+    in_flight: dict[int, float] = attrs.Factory(dict)
     """Attempts sent there and not answered, with the time of sending."""
-    reported_busy: int = 0
+    reported_in_flight: int = 0
     """Requests there by the newest report, less those sent from here."""
-    reported_at: float = -1e9
+    load_reported_at: float = -1e9
     service_time_ms: int = 0
     """Service time of its target by the newest report; 0 while not known."""
-    reported_failed: float = 0.0
+    reported_failure_ratio: float = 0.0
     """Share of requests that its target failed or rejected, by the newest report."""
 
     @property
-    def quiet(self) -> bool:
+    def idle(self) -> bool:
         """Return whether its link is up and nothing is out on it."""
-        silent = self.waiting_since == float("inf")
-        return self.link is Link.UP and silent and not self.out
+        silent = self.unanswered_since == float("inf")
+        return self.link_state is LinkState.UP and silent and not self.in_flight
 
     @property
-    def open(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Return whether its inbound side takes new requests."""
         target_state = self.target_state
         ready = target_state is not None and target_state.phase == messages.Phase.READY
-        return ready and self.link is Link.UP
+        return ready and self.link_state is LinkState.UP
 
-    def load_received(self, now: float, load: messages.Load) -> None:
+    def update_load(self, now: float, load: messages.Load) -> None:
         """Take the load of its target that the daemon reports."""
-        self.reported_busy = max(0, load.busy - len(self.out))
+        self.reported_in_flight = max(0, load.busy - len(self.in_flight))
         self.service_time_ms = load.service_time_ms
-        self.reported_failed = load.failed_pct / 100
-        self.reported_at = now
+        self.reported_failure_ratio = load.failed_pct / 100
+        self.load_reported_at = now
 
-    def failed(self, now: float) -> float:
+    def estimated_failure_ratio(self, now: float) -> float:
         """Return the share of requests that its target likely fails now."""
-        return health.decayed(self.reported_failed, now - self.reported_at)
+        return health.decayed(self.reported_failure_ratio, now - self.load_reported_at)
 
-    def busy(self, now: float) -> float:
+    def estimated_in_flight(self, now: float) -> float:
         """Return how many requests are likely there now."""
-        weight = max(0.0, 1.0 - (now - self.reported_at) / REPORT_FADES_S)
-        return len(self.out) + self.reported_busy * weight
+        weight = max(0.0, 1.0 - (now - self.load_reported_at) / LOAD_REPORT_TTL_S)
+        return len(self.in_flight) + self.reported_in_flight * weight
--- a/ferrydeck/mesh/members/registry.py
+++ b/ferrydeck/mesh/members/registry.py
@@ -74,26 +74,26 @@
     """Keeps this box's record in the store, reads the others' and the policy."""
 
     ctx: context.Context
-    offer_policy: Callable[[float, policy.Policy, str], None]
-    boxes_found: Callable[[float, tuple[store.BoxRecord, ...]], None]
+    on_policy: Callable[[float, policy.Policy, str], None]
+    on_records: Callable[[float, tuple[store.BoxRecord, ...]], None]
     data_centre_rank: Callable[[], int]
     """Returns how many linked daemons of this data centre come before this one."""
-    cut_off: Callable[[], bool]
+    is_partitioned: Callable[[], bool]
     """Returns whether no daemon of another data centre is linked, though some are
     known."""
-    linked: Callable[[], bool]
+    any_link_up: Callable[[], bool]
     """Returns whether this daemon is linked with any other one."""
     policy_freshness: policy_freshness.PolicyFreshness
-    reached: bool = False
+    reachable: bool = False
     """Whether the last call was answered."""
-    answered_at: float = -1e9
+    last_answer_at: float = -1e9
     era: int = 0
     """The newest era that the store has stated; 0 for none."""
     policy_revision: int | None = None
     """The revision from which the policy is watched; `None` where it is to be read."""
-    seen_boxes: bool = False
+    records_read: bool = False
     """Whether the records were read at least once."""
-    ran_before: bool = False
+    has_restarted: bool = False
     """Whether the first read had a record of an earlier daemon of this box."""
     _down: bool = False
     """Whether the last call failed, so that only one probes for the store's return."""
@@ -106,7 +106,7 @@
     _started: float = 0.0
     _quiet_until: float = 0.0
     _pause_s: float = RETRY_S
-    _lease: int = 0
+    _lease_id: int = 0
     _renew_at: float = 0.0
     _written_at: float | None = None
     _boxes_at: float = 0.0
@@ -141,7 +141,7 @@
         if now >= self._boxes_at:
             self._request(store.ReadBoxes(stale=self._boxes_may_be_stale))
 
-    def answered(
+    def answer_received(
         self, now: float, request: store.Request, result: store.Result, era: int
     ) -> None:
         """Act on the store's answer, which states the store's era (0 for none)."""
@@ -173,7 +173,7 @@
             case store.GrantLease():
                 self._granted(now, result)
             case store.KeepLease(lease=lease) | store.PutBox(lease=lease):
-                if lease == self._lease:
+                if lease == self._lease_id:
                     self._leased(now, request, result)
 
     def watch_age_s(self, now: float) -> float:
@@ -193,7 +193,7 @@
                 era=era,
                 old=self.era,
                 revision=self.policy_revision,
-                lease=self._lease,
+                lease=self._lease_id,
             )
             self._policy_may_be_stale = False
         self.era = era
@@ -201,7 +201,7 @@
         self._policy_at = 0.0
         if self.ctx.policy is not None:
             self.ctx.policy.revision = 0
-        self._lease = 0
+        self._lease_id = 0
         self._written_at = None
         for kind in typing.get_args(store.Numbered):
             self._outstanding.pop(kind, None)
@@ -236,7 +236,7 @@
         if found.fault:
             self.ctx.note("policy-rejected", reason=found.fault, source="store")
         if found.policy is not None:
-            self.offer_policy(now, found.policy, "store")
+            self.on_policy(now, found.policy, "store")
 
     def _step_policy(self, now: float) -> None:
         if self._outstanding.keys() & {store.ReadPolicy, store.WatchPolicy}:
@@ -261,12 +261,16 @@
         if now - self._started < WATCH_AFTER_S:
             return False
         # Those who watch here may have lost the store, and nobody else tells of it.
-        return self.data_centre_rank() < WATCHERS or self.cut_off()
+        return self.data_centre_rank() < WATCHERS or self.is_partitioned()
 
     def _step_confirmation(self, now: float) -> None:
         """Ask whether the policy is still the newest, where keys depend on that."""
         held = self.ctx.policy
-        if held is None or not held.teams or self.policy_freshness.revoke_s is None:
+        if (
+            held is None
+            or not held.teams
+            or self.policy_freshness.revocation_timeout_s is None
+        ):
             return
         if store.ProvePolicy in self._outstanding:
             return
@@ -286,19 +290,19 @@
 
     def _step_record(self, now: float) -> None:
         """Request a lease, write the record under it, or renew the lease."""
-        if not self._lease:
+        if not self._lease_id:
             self._request(store.GrantLease(ttl_s=LEASE_S))
         elif self._written_at is None:
             self._request(
-                store.PutBox(record=self._record(), lease=self._lease, era=self.era)
+                store.PutBox(record=self._record(), lease=self._lease_id, era=self.era)
             )
         elif now >= self._renew_at:
-            self._request(store.KeepLease(lease=self._lease, era=self.era))
+            self._request(store.KeepLease(lease=self._lease_id, era=self.era))
 
     def _probe(self) -> None:
         """Make the cheapest call there is, to see whether the store is back."""
-        if self._lease:
-            self._request(store.KeepLease(lease=self._lease, era=self.era))
+        if self._lease_id:
+            self._request(store.KeepLease(lease=self._lease_id, era=self.era))
         else:
             self._request(store.ReadBoxes(stale=True))
 
@@ -333,7 +337,7 @@
 
     def _confirmed(self, version: int, asked_at: float) -> None:
         """Take a confirmation, which counts from when its question was sent."""
-        self.policy_freshness.confirmed(self.ctx.version, version, asked_at)
+        self.policy_freshness.add_confirmation(self.ctx.version, version, asked_at)
 
     def _set_revision(self, found: policy.Policy) -> None:
         """Keep the revision of the policy in force, which another daemon sent."""
@@ -346,13 +350,13 @@
     ) -> None:
         if not isinstance(result, store.BoxesFound):
             return
-        if not self.seen_boxes:
-            self.seen_boxes = True
-            self.ran_before = self._earlier_record(result.records)
+        if not self.records_read:
+            self.records_read = True
+            self.has_restarted = self._earlier_record(result.records)
         if result.odd != self._unreadable:
             self._unreadable = result.odd
             self.ctx.note("records", outcome="odd", count=result.odd)
-        self.boxes_found(now, result.records)
+        self.on_records(now, result.records)
         if request.stale and not self._boxes_may_be_stale:
             return
         self._boxes_may_be_stale = True
@@ -361,7 +365,7 @@
         own = any(one.box == self.ctx.identity.box for one in result.records)
         written = self._written_at is not None and now - self._written_at > MISSING_S
         if written and not own:
-            self.ctx.note("record-lost", reason="missing", lease=self._lease)
+            self.ctx.note("record-lost", reason="missing", lease=self._lease_id)
             self._written_at = None
 
     def _earlier_record(self, records: tuple[store.BoxRecord, ...]) -> bool:
@@ -372,7 +376,7 @@
 
     def _granted(self, now: float, result: store.Result) -> None:
         if isinstance(result, store.Leased):
-            self._lease = result.lease
+            self._lease_id = result.lease
             self._renew_at = now + RENEW_EVERY_S
             self._written_at = None
 
@@ -384,14 +388,14 @@
     ) -> None:
         """Act on the answer to a call with the lease that is held."""
         if isinstance(result, store.LeaseOver):
-            self.ctx.note("lease-lost", reason="over", lease=self._lease)
-            self._lease = 0
+            self.ctx.note("lease-lost", reason="over", lease=self._lease_id)
+            self._lease_id = 0
             return
         if isinstance(request, store.KeepLease):
             self._renew_at = now + RENEW_EVERY_S
             return
         self._written_at = now
-        if not self.linked():
+        if not self.any_link_up():
             # Of two daemons that start together, the one whose record comes later
             # sees the other's, if its read is not stale.
             self._boxes_may_be_stale = False
@@ -408,9 +412,9 @@
         )
 
     def _failed(self, now: float, result: store.NoAnswer, took_s: float) -> None:
-        if self.reached:
+        if self.reachable:
             self.ctx.note("store-lost", reason=result.detail)
-        self.reached = False
+        self.reachable = False
         self._down = True
         most_s = max(RETRY_MOST_S, REJECTED_S - took_s)
         self._pause_s = min(most_s, self._pause_s)
@@ -418,16 +422,18 @@
         self._pause_s *= 2
 
     def _reached(self, now: float) -> None:
-        if not self.reached:
-            self.ctx.note("store-regained", silent_s=round(now - self.answered_at, 3))
+        if not self.reachable:
+            self.ctx.note(
+                "store-regained", silent_s=round(now - self.last_answer_at, 3)
+            )
         if self._down:
             # A watch from before may wait on a connection that is cut.
             self._outstanding.pop(store.WatchPolicy, None)
-        self.reached = True
+        self.reachable = True
         self._down = False
         self._quiet_until = 0.0
         self._pause_s = RETRY_S
-        self.answered_at = now
+        self.last_answer_at = now
 
     def _request(self, request: store.Request) -> None:
         if type(request) in self._outstanding:
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -93,10 +93,10 @@
             "server_running": len(core.inbound.runs),
             "server_waiting": len(core.inbound.waiting),
             "server_limit": core.inbound.limit,
-            "peers_linked": sum(one.link is peers.Link.UP for one in known),
+            "peers_linked": sum(one.link_state is peers.LinkState.UP for one in known),
             "peers_known": len(known),
             "policy_proof_age_seconds": _freshness_age_s(core, now),
-            "store_silent_seconds": now - core.registry.answered_at,
+            "store_silent_seconds": now - core.registry.last_answer_at,
             "store_era": core.registry.era,
             "policy_revision": _policy_revision(core),
             "policy_watch_age_seconds": core.registry.watch_age_s(now),
@@ -135,6 +135,6 @@
     bound = (
         held is not None
         and bool(held.teams)
-        and core.policy_freshness.revoke_s is not None
+        and core.policy_freshness.revocation_timeout_s is not None
     )
     return core.policy_freshness.age_s(now) if bound else -1.0
--- a/ferrydeck/mesh/outbound/attempts.py
+++ b/ferrydeck/mesh/outbound/attempts.py
@@ -19,7 +19,7 @@
     """Sends requests, and finds them again by what is received about them."""
 
     ctx: context.Context
-    peers: peer_table.Peers
+    peers: peer_table.PeerTable
     inbound: inbound.Inbound
     by_number: dict[int, outbound_request.OutboundRequest] = attrs.Factory(dict)
 
@@ -43,7 +43,7 @@
             self.inbound.submit(now, inbound.LOCAL_LINK, forward, 0.0)
             return
         req.tried.add(peer.address)
-        peer.out[number] = now
+        peer.in_flight[number] = now
         self.peers.send(now, peer, forward)
 
     def find(
@@ -54,14 +54,14 @@
         if req is not None and req.peer is peer:
             return req
         if peer is not None:
-            peer.out.pop(number, None)
+            peer.in_flight.pop(number, None)
         return None
 
     def end(self, req: outbound_request.OutboundRequest) -> None:
         """Forget the attempt that is out, where there is one."""
         self.by_number.pop(req.current_attempt, None)
         if req.peer is not None:
-            req.peer.out.pop(req.current_attempt, None)
+            req.peer.in_flight.pop(req.current_attempt, None)
         req.current_attempt = 0
         req.peer = None
 
@@ -73,7 +73,7 @@
         self.end(req)
         if peer is None:
             self.inbound.cancel(now, inbound.LOCAL_LINK, number)
-        elif peer.link is peers.Link.UP:
+        elif peer.link_state is peers.LinkState.UP:
             self.peers.send(now, peer, messages.Cancel(number=number))
 
     def credit(
@@ -121,7 +121,7 @@
 
 def _takes_rejected(peer: peers.Peer | None) -> bool:
     """Return whether a daemon, `None` for this one, knows of rejected requests."""
-    return peer is None or peer.protocol >= messages.RETRY_PROTOCOL
+    return peer is None or peer.protocol_version >= messages.RETRY_PROTOCOL
 
 
 def _forward_of(team: str, **values: object) -> messages.Forward:
--- a/ferrydeck/mesh/outbound/choosing.py
+++ b/ferrydeck/mesh/outbound/choosing.py
@@ -13,7 +13,7 @@
 
 from ferrydeck.mesh import context, messages
 from ferrydeck.mesh.inbound import inbound
-from ferrydeck.mesh.members import peer_table, peers, suspicion
+from ferrydeck.mesh.members import failure_detector, peer_table, peers
 from ferrydeck.mesh.outbound import scoring
 from ferrydeck.mesh.poison import fingerprints, isolation
 
@@ -87,7 +87,7 @@
     """Chooses among the targets of a service."""
 
     ctx: context.Context
-    peers: peer_table.Peers
+    peers: peer_table.PeerTable
     inbound: inbound.Inbound
     _groups: dict[str, Group] = attrs.Factory(dict)
     """The daemons with targets, by service."""
@@ -188,7 +188,7 @@
         would only add to it. `peer` is `None` for the target of this box.
         """
         own = self.inbound.health.failure_ratio(now)
-        failed = own if peer is None else peer.failed(now)
+        failed = own if peer is None else peer.estimated_failure_ratio(now)
         group = self._group(now, service)
         usual = self._usual_failures(now, service, [*group.near, *group.far])
         return scoring.outlier(failed, usual)
@@ -206,11 +206,11 @@
 
     def _score(self, now: float, peer: peers.Peer, group: Group) -> float:
         return self._sum(
-            peer.busy(now) / max(1, peer.target_state.slots),
+            peer.estimated_in_flight(now) / max(1, peer.target_state.slots),
             peer.data_centre != self.ctx.identity.data_centre,
             now < peer.cold_until,
             peer.service_time_ms,
-            peer.failed(now),
+            peer.estimated_failure_ratio(now),
             group,
         )
 
@@ -244,7 +244,7 @@
         service_times = [
             one.service_time_ms
             for one in candidates
-            if one.open and one.service_time_ms
+            if one.accepts_requests and one.service_time_ms
         ]
         if self.ctx.identity.service == service and self.inbound.service_time_ms:
             service_times.append(self.inbound.service_time_ms)
@@ -255,9 +255,9 @@
     ) -> float:
         """Return the share of failures that a quarter of the targets stay below."""
         shares = [
-            one.failed(now)
+            one.estimated_failure_ratio(now)
             for one in candidates
-            if one.open and now - one.reported_at <= RECENT_S
+            if one.accepts_requests and now - one.load_reported_at <= RECENT_S
         ]
         if self.ctx.identity.service == service:
             shares.append(self.inbound.health.failure_ratio(now))
@@ -268,8 +268,8 @@
 
     def _group(self, now: float, service: str) -> Group:
         """Return the daemons with targets of a service, and what is usual there."""
-        if self.peers.changed:
-            self.peers.changed = False
+        if self.peers.candidates_changed:
+            self.peers.candidates_changed = False
             self._regroup()
         group = self._groups.get(service)
         if group is None:
@@ -296,6 +296,10 @@
     now: float, peer: peers.Peer, tried: set[str], only: set[str] | None
 ) -> bool:
     """Return whether another box's target may be chosen."""
-    if peer.address in tried or not peer.open or suspicion.suspect(now, peer):
+    if (
+        peer.address in tried
+        or not peer.accepts_requests
+        or failure_detector.is_suspect(now, peer)
+    ):
         return False
     return only is None or peer.address in only
--- a/ferrydeck/mesh/outbound/open_requests.py
+++ b/ferrydeck/mesh/outbound/open_requests.py
@@ -81,7 +81,7 @@
         self.by_conn.pop(req.conn, None)
         self.by_number.pop(req.number, None)
         if req.team is not None and outcome == "refused":
-            self.quota_enforcer.not_run(req.team)
+            self.quota_enforcer.refund(req.team)
         if req.parent is not None:
             req.parent.call_ended(now)
         req.note(self.ctx, outcome, reason, ms=round(1000 * (now - req.started), 1))
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -11,7 +11,7 @@
 
 from ferrydeck.mesh import context, effects, events, messages
 from ferrydeck.mesh.inbound import inbound
-from ferrydeck.mesh.members import peer_table, peers, suspicion
+from ferrydeck.mesh.members import failure_detector, peer_table, peers
 from ferrydeck.mesh.outbound import (
     attempts,
     choosing,
@@ -58,11 +58,11 @@
     """Carries the requests that begin on this box to targets and back."""
 
     ctx: context.Context
-    peers: peer_table.Peers
+    peers: peer_table.PeerTable
     chooser: choosing.Chooser
     inbound: inbound.Inbound
     intake: intake.Intake
-    access: access.Access
+    access: access.AccessControl
     attempts: attempts.Attempts = attrs.field(init=False)
     reports: reports.Reports = attrs.field(init=False)
     requests: open_requests.OpenRequests = attrs.field(init=False)
@@ -196,11 +196,11 @@
 
     def link_down(self, now: float, peer: peers.Peer) -> None:
         """Act on the loss of a link: its attempts may have run."""
-        for number in list(peer.out):
+        for number in list(peer.in_flight):
             req = self.attempts.by_number.get(number)
             if req is not None:
                 self._lost(now, req, messages.Reason.LINK_LOST)
-        peer.out.clear()
+        peer.in_flight.clear()
 
     def deadline(self, now: float, number: int) -> None:
         """Give a caller whose time is over its final answer."""
@@ -221,9 +221,9 @@
         """Retry requests that are at silent boxes at other ones."""
         self.ctx.at(now + SILENT_EVERY_S, SilentTimer())
         for peer in self.peers.by_address.values():
-            if not peer.out or not suspicion.silent(now, peer):
+            if not peer.in_flight or not failure_detector.is_silent(now, peer):
                 continue
-            for number in list(peer.out):
+            for number in list(peer.in_flight):
                 req = self.attempts.by_number.get(number)
                 if req is not None and self.ctx.switches.move_from_silent:
                     self._check_silent(now, req)
@@ -382,7 +382,7 @@
     ) -> None:
         """Reject a request that is run no more, until its record is forgotten."""
         if team is not None:
-            self.access.quota_enforcer.not_run(team)
+            self.access.quota_enforcer.refund(team)
         replies.decline(
             self.ctx,
             request,
--- a/ferrydeck/mesh/outbound/reports.py
+++ b/ferrydeck/mesh/outbound/reports.py
@@ -29,7 +29,7 @@
     ) -> None:
         """Take what a message of a peer reports, `None` for this box."""
         if peer is not None:
-            peer.load_received(now, message.load)
+            peer.update_load(now, message.load)
             self.prices_received(now, peer, message.load)
         if isinstance(message, messages.Broken):
             return
--- a/ferrydeck/mesh/outbound/retrying.py
+++ b/ferrydeck/mesh/outbound/retrying.py
@@ -148,7 +148,7 @@
 
 
 def after_silence(progress: Progress) -> Retry | Wait:
-    """Decide while an attempt is at a box that is silent (`suspicion.silent`)."""
+    """Decide while an attempt is at a silent box (`failure_detector.is_silent`)."""
     if not progress.streaming and _may_retry(progress):
         return Retry(reason="silent")
     return Wait()
--- a/ferrydeck/mesh/teams/access.py
+++ b/ferrydeck/mesh/teams/access.py
@@ -11,9 +11,9 @@
 from ferrydeck.mesh.outbound import retry_after
 from ferrydeck.mesh.teams import keys, policy_freshness, quota
 
-UNKNOWN_STATUS = 401
-STALE_STATUS = 503
-OVER_QUOTA_STATUS = 429
+UNAUTHORIZED_STATUS = 401
+UNAVAILABLE_STATUS = 503
+TOO_MANY_REQUESTS_STATUS = 429
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -35,7 +35,7 @@
 
 
 @attrs.define(kw_only=True)
-class Access:
+class AccessControl:
     """Decides for the callers of this box."""
 
     ctx: context.Context
@@ -52,37 +52,39 @@
         held = self.ctx.policy
         if not held.teams or (route.public and not request.key):
             return Allowed(team=None)
-        fresh = self.policy_freshness.holds(now)
+        fresh = self.policy_freshness.is_fresh(now)
         team = held.keyring.find(request.key) if request.key and fresh else None
         if team is None and route.public:
             return Allowed(team=None)
         if not request.key:
-            return Denied(status=UNKNOWN_STATUS, reason=messages.Reason.NO_KEY)
+            return Denied(status=UNAUTHORIZED_STATUS, reason=messages.Reason.NO_KEY)
         if not fresh:
-            return self._stale(now)
+            return self._deny_stale_policy(now)
         if team is None:
-            return Denied(status=UNKNOWN_STATUS, reason=messages.Reason.UNKNOWN_KEY)
-        return self._within_quota(now, team)
+            return Denied(
+                status=UNAUTHORIZED_STATUS, reason=messages.Reason.UNKNOWN_KEY
+            )
+        return self._check_quota(now, team)
 
-    def _stale(self, now: float) -> Denied:
+    def _deny_stale_policy(self, now: float) -> Denied:
         """Reject a key of which it isn't known whether it still counts.
 
         Not as an unknown one: its caller is to come back.
         """
         return Denied(
-            status=STALE_STATUS,
+            status=UNAVAILABLE_STATUS,
             reason=messages.Reason.STALE_POLICY,
             retry_after_s=retry_after.for_reason(messages.Reason.STALE_POLICY),
             inputs={"proof_age_s": round(self.policy_freshness.age_s(now), 3)},
         )
 
-    def _within_quota(self, now: float, team: keys.Team) -> Allowed | Denied:
+    def _check_quota(self, now: float, team: keys.Team) -> Allowed | Denied:
         grant = self.quota_enforcer.check(now, team)
         if grant is None:
             return Allowed(team=team)
         after_s = retry_after.over_quota(grant.retry_after_s, self.ctx.rng.random())
         return Denied(
-            status=OVER_QUOTA_STATUS,
+            status=TOO_MANY_REQUESTS_STATUS,
             reason=messages.Reason.QUOTA,
             retry_after_s=after_s,
             inputs={
--- a/ferrydeck/mesh/teams/keys.py
+++ b/ferrydeck/mesh/teams/keys.py
@@ -30,7 +30,7 @@
     """Requests that it may have run beyond its rate."""
 
     @property
-    def limited(self) -> bool:
+    def has_quota(self) -> bool:
         """Return whether it has a quota."""
         return self.rate_per_s > 0
 
--- a/ferrydeck/mesh/teams/policy_freshness.py
+++ b/ferrydeck/mesh/teams/policy_freshness.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-MARGIN_S = 0.2
+EXPIRY_MARGIN_S = 0.2
 """How much sooner than agreed a confirmation is too old, seconds: a loop that is busy
 looks at the clock some hundredths late."""
 NEVER = -1e9
@@ -24,34 +24,37 @@
 class PolicyFreshness:
     """What one daemon knows of the age of its policy."""
 
-    revoke_s: float | None
+    revocation_timeout_s: float | None
     """How long a key may run requests after it was taken away, seconds; `None` where
     nothing was agreed."""
-    at: float = NEVER
+    confirmed_at: float = NEVER
     """When nothing newer than the policy in force had been accepted."""
-    _newer: tuple[int, float] = (0, NEVER)
+    _pending: tuple[int, float] = (0, NEVER)
     """A version that is not in force here yet, and when nothing newer than it was."""
 
-    def confirmed(self, held: int, version: int, at: float) -> None:
+    def add_confirmation(self, held: int, version: int, at: float) -> None:
         """Take a confirmation that at `at` no version above `version` was accepted.
 
         It is of use at once where the version `held` in force is not older.
         """
         if version <= held:
-            self.at = max(self.at, at)
-        elif at > self._newer[1]:
-            self._newer = (version, at)
+            self.confirmed_at = max(self.confirmed_at, at)
+        elif at > self._pending[1]:
+            self._pending = (version, at)
 
-    def in_force(self, version: int) -> None:
+    def policy_applied(self, version: int) -> None:
         """Use a confirmation that came before its policy, which is in force now."""
-        confirmed, at = self._newer
+        confirmed, at = self._pending
         if confirmed <= version:
-            self.at = max(self.at, at)
+            self.confirmed_at = max(self.confirmed_at, at)
 
     def age_s(self, now: float) -> float:
         """Return the age of the confirmation, seconds."""
-        return now - self.at
+        return now - self.confirmed_at
 
-    def holds(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether keys can be relied on."""
-        return self.revoke_s is None or self.age_s(now) < self.revoke_s - MARGIN_S
+        return (
+            self.revocation_timeout_s is None
+            or self.age_s(now) < self.revocation_timeout_s - EXPIRY_MARGIN_S
+        )
--- a/ferrydeck/mesh/teams/coordination.py
+++ b/ferrydeck/mesh/teams/quota_exchange.py
@@ -9,44 +9,44 @@
 import attrs
 
 from ferrydeck.mesh import context, effects, messages
-from ferrydeck.mesh.members import peer_table, peers, suspicion
+from ferrydeck.mesh.members import failure_detector, peer_table, peers
 from ferrydeck.mesh.teams import quota, quota_reports
 
-SEND_EVERY_S = 0.1
+REPORT_INTERVAL_S = 0.1
 """How often usages and grants are sent, seconds. A daemon's fifteen requests a second
 are mostly of as many teams, so a longer pause saves few messages (reckoned), and a team
 at seven times its usual is limited later."""
-QUIET_S = 0.5
+COORDINATOR_SILENT_TIMEOUT_S = 0.5
 """A coordinator that sent nothing for this long has to answer the next usages, seconds:
 it may be cut off, and another one has to take its place."""
-SETTLE_S = 0.5
+VIEW_SETTLE_TIMEOUT_S = 0.5
 """How long after the daemons in reach have changed a grant is not raised, seconds: a
 new coordinator has reports of a part of the demand only, and would admit everything."""
-PASS_ON_S = 1.0
+GRANT_RELAY_TIMEOUT_S = 1.0
 """How long a daemon that passes usages on passes the grants on as well, seconds: those
 who report to it are not linked with the coordinator yet."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class SendTimer:
+class QuotaReportTimer:
     """Time to send usages and grants."""
 
 
 @attrs.define(kw_only=True)
-class QuotaCoordination:
+class QuotaExchange:
     """Carries usages to coordinators and their grants back."""
 
     ctx: context.Context
-    peers: peer_table.Peers
+    peers: peer_table.PeerTable
     quota_enforcer: quota.QuotaEnforcer
     coordinator: quota.QuotaCoordinator = attrs.field(init=False)
-    _in_reach: dict[str, peers.Peer] = attrs.Factory(dict)
+    _reachable: dict[str, peers.Peer] = attrs.Factory(dict)
     """The daemons that are linked and not suspect, by address."""
     _coordinators: dict[str, str] = attrs.Factory(dict)
     """The coordinator of each team in use here, among the daemons in reach."""
-    _passed_on: dict[str, float] = attrs.Factory(dict)
+    _relayed_at: dict[str, float] = attrs.Factory(dict)
     """When another daemon's usage of a team was last passed on."""
-    _changed_at: float = -1e9
+    _view_changed_at: float = -1e9
     """When the daemons in reach last changed."""
     _running: bool = False
 
@@ -54,21 +54,21 @@
         window_s = self.ctx.limits.quota_window_s
         self.coordinator = quota.QuotaCoordinator(window_s=window_s)
 
-    def policy_in_force(self, now: float) -> None:
+    def policy_applied(self, now: float) -> None:
         """Begin to report, once a policy has teams with quotas."""
         if self._running or not self._has_quotas():
             return
         self._running = True
-        self._changed_at = now
-        self.ctx.at(now + SEND_EVERY_S, SendTimer())
+        self._view_changed_at = now
+        self.ctx.at(now + REPORT_INTERVAL_S, QuotaReportTimer())
 
-    def send(self, now: float) -> None:
+    def send_reports(self, now: float) -> None:
         """Send what was used here to coordinators, and all daemons the grants."""
         self._running = self._has_quotas()
         if not self._running:
             return
-        self.ctx.at(now + SEND_EVERY_S, SendTimer())
-        self._update_reach(now)
+        self.ctx.at(now + REPORT_INTERVAL_S, QuotaReportTimer())
+        self._update_reachable(now)
         self._send_usages(now)
         self._send_grants(now)
 
@@ -84,12 +84,12 @@
         """
         limited = []
         for one in message.usages:
-            usage = quota.Usage(asked=one.asked, run=one.run)
+            usage = quota.Usage(requested=one.asked, admitted=one.run)
             if self._is_coordinator(one.team):
-                self._add(now, one.team, usage)
+                self._add_usage(now, one.team, usage)
             else:
-                self.quota_enforcer.pass_on(one.team, usage)
-                self._passed_on[one.team] = now
+                self.quota_enforcer.add_relayed(one.team, usage)
+                self._relayed_at[one.team] = now
             grant = self.quota_enforcer.grant(now, one.team)
             if grant is not None:
                 limited.append(
@@ -107,7 +107,7 @@
         One that is not the coordinator by this daemon's view, or has only just become
         it, may lower a grant, but not raise it.
         """
-        settled = now - self._changed_at >= SETTLE_S
+        settled = now - self._view_changed_at >= VIEW_SETTLE_TIMEOUT_S
         passed_on = []
         for one in message.grants:
             trusted = settled and self._coordinator(one.team) == address
@@ -117,42 +117,43 @@
             self.quota_enforcer.set_grant(
                 now, one.team, one.fraction, one.retry_after_s
             )
-            relays = now - self._passed_on.get(one.team, -1e9) < PASS_ON_S
+            relays = now - self._relayed_at.get(one.team, -1e9) < GRANT_RELAY_TIMEOUT_S
             if relays and one.fraction != fraction:
                 passed_on.append(one)
         if passed_on:
-            self._send_all(messages.TeamGrants(grants=passed_on), but=address)
+            self._broadcast(messages.TeamGrants(grants=passed_on), but=address)
 
     def _has_quotas(self) -> bool:
         held = self.ctx.policy
-        return held is not None and any(one.limited for one in held.teams.values())
+        return held is not None and any(one.has_quota for one in held.teams.values())
 
-    def _update_reach(self, now: float) -> None:
+    def _update_reachable(self, now: float) -> None:
         found = {
             address: peer
             for address, peer in self.peers.by_address.items()
-            if peer.link is peers.Link.UP and not suspicion.suspect(now, peer)
+            if peer.link_state is peers.LinkState.UP
+            and not failure_detector.is_suspect(now, peer)
         }
-        if found.keys() != self._in_reach.keys():
+        if found.keys() != self._reachable.keys():
             self._coordinators.clear()
-            self._changed_at = now
-        self._in_reach = found
-        self.quota_enforcer.daemons = 1 + len(self.peers.by_address)
+            self._view_changed_at = now
+        self._reachable = found
+        self.quota_enforcer.known_daemons = 1 + len(self.peers.by_address)
 
     def _send_usages(self, now: float) -> None:
         by_address: dict[str, list[quota_reports.TeamUsage]] = {}
         for team, usage in self.quota_enforcer.take_usages().items():
             if self._is_coordinator(team):
-                self._add(now, team, usage)
+                self._add_usage(now, team, usage)
                 continue
             report = quota_reports.TeamUsage(
-                team=team, asked=usage.asked, run=usage.run
+                team=team, asked=usage.requested, run=usage.admitted
             )
             by_address.setdefault(self._coordinator(team), []).append(report)
         for address, usages in by_address.items():
             message = messages.TeamUsages(usages=usages)
-            peer = self._in_reach[address]
-            if now - peer.received_at > QUIET_S:
+            peer = self._reachable[address]
+            if now - peer.last_received_at > COORDINATOR_SILENT_TIMEOUT_S:
                 self.peers.send(now, peer, message)
             else:
                 self.ctx.send(address, message)
@@ -163,7 +164,7 @@
             for name, team in self.ctx.policy.teams.items()
             if name in self.coordinator.accounts and self._is_coordinator(name)
         }
-        due = self.coordinator.due_grants(now, own, self._reach())
+        due = self.coordinator.due_grants(now, own, self._reachable_ratio())
         if not due:
             return
         grants = []
@@ -177,21 +178,23 @@
             )
         message = messages.TeamGrants(grants=grants)
         self.grants_received(now, self.ctx.identity.address, message)
-        self._send_all(message, but="")
+        self._broadcast(message, but="")
 
-    def _send_all(self, message: messages.TeamGrants, *, but: str) -> None:
-        for address in self._in_reach:
+    def _broadcast(self, message: messages.TeamGrants, *, but: str) -> None:
+        for address in self._reachable:
             if address != but:
                 self.ctx.send(address, message)
 
-    def _add(self, now: float, name: str, usage: quota.Usage) -> None:
+    def _add_usage(self, now: float, name: str, usage: quota.Usage) -> None:
         held = self.ctx.policy
         team = held.teams.get(name) if held is not None else None
-        if team is None or not team.limited:
+        if team is None or not team.has_quota:
             return
         # No report for a whole window by the same daemons means that nothing was used.
-        unused = now - self._changed_at > self.coordinator.window_s
-        self.coordinator.add(now, team, self._reach(), usage, unused=unused)
+        unused = now - self._view_changed_at > self.coordinator.window_s
+        self.coordinator.add_usage(
+            now, team, self._reachable_ratio(), usage, unused=unused
+        )
 
     def _is_coordinator(self, team: str) -> bool:
         return self._coordinator(team) == self.ctx.identity.address
@@ -199,15 +202,15 @@
     def _coordinator(self, team: str) -> str:
         found = self._coordinators.get(team)
         if found is None:
-            addresses = [self.ctx.identity.address, *self._in_reach]
-            found = quota.coordinator_of(team, addresses)
+            addresses = [self.ctx.identity.address, *self._reachable]
+            found = quota.choose_coordinator(team, addresses)
             self._coordinators[team] = found
         return found
 
-    def _reach(self) -> float:
+    def _reachable_ratio(self) -> float:
         """Return which part of all daemons those in reach are, this one included."""
-        known = max(len(self.peers.by_address), len(self._in_reach))
-        return (1 + len(self._in_reach)) / (1 + known)
+        known = max(len(self.peers.by_address), len(self._reachable))
+        return (1 + len(self._reachable)) / (1 + known)
 
 
 def _grant_message(
--- a/tests/mesh/teams/test_policy_freshness.py
+++ b/tests/mesh/teams/test_policy_freshness.py
@@ -20,18 +20,18 @@
 
 
 def test_a_proof_of_a_newer_policy_waits_for_that_policy():
-    freshness = policy_freshness.PolicyFreshness(revoke_s=5.0)
-    freshness.confirmed(4, 5, 10.0)
-    assert not freshness.holds(10.5)
-    freshness.in_force(5)
-    assert freshness.holds(10.5)
-    assert not freshness.holds(14.9)
+    freshness = policy_freshness.PolicyFreshness(revocation_timeout_s=5.0)
+    freshness.add_confirmation(4, 5, 10.0)
+    assert not freshness.is_fresh(10.5)
+    freshness.policy_applied(5)
+    assert freshness.is_fresh(10.5)
+    assert not freshness.is_fresh(14.9)
 
 
 def test_a_proof_of_an_older_policy_counts_for_a_newer_one():
-    freshness = policy_freshness.PolicyFreshness(revoke_s=5.0)
-    freshness.confirmed(7, 4, 10.0)
-    assert freshness.holds(14.0)
+    freshness = policy_freshness.PolicyFreshness(revocation_timeout_s=5.0)
+    freshness.add_confirmation(7, 4, 10.0)
+    assert freshness.is_fresh(14.0)
 
 
 def test_one_daemon_of_a_data_centre_asks_and_all_have_a_young_proof():
@@ -107,7 +107,7 @@
     late = store.ProvePolicy(
         version=held.version, revision=held.revision, asked_at=now - 9.0
     )
-    box.core.policy_freshness.at = policy_freshness.NEVER
+    box.core.policy_freshness.confirmed_at = policy_freshness.NEVER
     world.store.cut = lambda one: True
     result = store.PolicyProved()
     world.feed(box, events.StoreAnswered(request=late, result=result))
--- a/tests/mesh/test_calls_of_retries.py
+++ b/tests/mesh/test_calls_of_retries.py
@@ -132,7 +132,7 @@
     world = chain_of(1, levels=2)
     for box in world.boxes.values():
         for peer in box.core.peers.by_address.values():
-            peer.protocol = messages.RETRY_PROTOCOL - 1
+            peer.protocol_version = messages.RETRY_PROTOCOL - 1
     shed_at(world, "desk")
     sent = []
     encode = messages.encode
--- a/tests/mesh/test_health.py
+++ b/tests/mesh/test_health.py
@@ -45,7 +45,7 @@
     chooser = world.boxes["box-0"].core.outbound.chooser
     others = list(world.boxes["box-0"].core.peers.by_address.values())
     for peer, share in zip(others, (0.3, 0.4, 0.5), strict=True):
-        peer.reported_failed, peer.reported_at = share, world.now
+        peer.reported_failure_ratio, peer.load_reported_at = share, world.now
     for _ in range(4):
         world.boxes["box-0"].core.inbound.health.count(world.now, failed=True)
     own = {world.boxes["box-0"].address}
--- a/tests/mesh/test_lost_boxes.py
+++ b/tests/mesh/test_lost_boxes.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ferrydeck.mesh.members import peers, suspicion
+from ferrydeck.mesh.members import failure_detector, peers
 from tests.mesh import samples, simulation
 
 
@@ -58,12 +58,12 @@
     assert samples.statuses(asked) == [200] * 50
     world.links.mend()
     world.run(4)
-    incoming_links = [
-        peer.link
+    link_states = [
+        peer.link_state
         for box in world.boxes.values()
         for peer in box.core.peers.by_address.values()
     ]
-    assert incoming_links == [peers.Link.UP] * 12
+    assert link_states == [peers.LinkState.UP] * 12
 
 
 def test_a_zone_that_is_cut_off_is_found_silent_by_one_request():
@@ -73,8 +73,11 @@
     world.links.cut = lambda one, other: one.data_centre != other.data_centre
     own = world.boxes["box-0"].core.peers
     for box in far:
-        own.by_address[box.address].sent_at = world.now
-    own.by_address[far[0].address].waiting_since = world.now
+        own.by_address[box.address].last_sent_at = world.now
+    own.by_address[far[0].address].unanswered_since = world.now
     world.run(1.0)
     suspects = [own.by_address[box.address] for box in far]
-    assert all(suspicion.suspect(world.now, one) or not one.open for one in suspects)
+    assert all(
+        failure_detector.is_suspect(world.now, one) or not one.accepts_requests
+        for one in suspects
+    )
--- a/tests/mesh/test_registry.py
+++ b/tests/mesh/test_registry.py
@@ -96,7 +96,7 @@
 
 def test_daemons_that_start_together_find_each_other_at_once():
     world = samples.world_of(4, data_centres=2)
-    linked = [box.core.peers.linked() for box in world.boxes.values()]
+    linked = [box.core.peers.any_link_up() for box in world.boxes.values()]
     assert all(linked)
     assert all(len(box.core.peers.by_address) == 3 for box in world.boxes.values())
 
--- a/tests/mesh/test_retry_exchange.py
+++ b/tests/mesh/test_retry_exchange.py
@@ -43,7 +43,7 @@
     world, sent = shedding(monkeypatch)
     for box in world.boxes.values():
         for peer in box.core.peers.by_address.values():
-            peer.protocol = messages.RETRY_PROTOCOL - 1
+            peer.protocol_version = messages.RETRY_PROTOCOL - 1
     samples.load(world, "box-0", 300)
     assert sent["RetryCounts"] == 0
 
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -35,13 +35,13 @@
     world = samples.world_of(boxes, data_centres=5)
     world.run(3)
     looked = []
-    look = peer_table.Peers._keep_alive
+    look = peer_table.PeerTable._keep_alive
 
     def counted(self, now, peer, idle_s):
         looked.append(peer)
         look(self, now, peer, idle_s)
 
-    monkeypatch.setattr(peer_table.Peers, "_keep_alive", counted)
+    monkeypatch.setattr(peer_table.PeerTable, "_keep_alive", counted)
     world.run(2.0)
     # Beside all of them twice, those that were just pinged: one in fifty ticks or so.
     assert len(looked) <= boxes * (2 * (boxes - 1) + 2 * 20)
@@ -58,4 +58,4 @@
         world.links.drop(gone, other)
     world.run(30)
     assert len(core.peers.by_address) == 1
-    assert {peer.box for peer in core.peers._busy} <= {"box-1"}
+    assert {peer.box for peer in core.peers._active} <= {"box-1"}
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -102,7 +102,7 @@
     world.add_box("box-3", "hall-0", "desk")
     world.run(3.0)
     assert set(world.store.records) == set(world.boxes)
-    kept = {box.core.registry._lease for box in world.boxes.values()}
+    kept = {box.core.registry._lease_id for box in world.boxes.values()}
     assert len(kept) == len(world.boxes)
 
 
@@ -137,7 +137,7 @@
     world.store.restore(copy)
     world.run(fleets.REVOKE_S + 1.0)
     assert box.core.ctx.version == 6
-    assert not box.core.policy_freshness.holds(world.clock(box))
+    assert not box.core.policy_freshness.is_fresh(world.clock(box))
     world.store.use(fleets.policy_of(fleets.holding(), version=6))
     world.run(2.0)
-    assert box.core.policy_freshness.holds(world.clock(box))
+    assert box.core.policy_freshness.is_fresh(world.clock(box))
--- a/tests/platform/test_teams.py
+++ b/tests/platform/test_teams.py
@@ -34,7 +34,7 @@
     assert made.keyring.find(SECRET) == farm
     assert made.keyring.find("third") == keys.Team(name="mill")
     assert made.keyring.find("fourth") is None
-    assert not made.teams["mill"].limited
+    assert not made.teams["mill"].has_quota
 
 
 def test_a_manifest_without_tenants_has_no_teams():
