--- a/ferrydeck/mesh/members/registry.py
+++ b/ferrydeck/mesh/members/registry.py
@@ -1,13 +1,13 @@
-"""What this daemon does in the platform's store: it reads the policy and the records of
-the other daemons, and keeps its own record under a lease.
+"""Calls of the platform's store: reads the policy and the records of other daemons, and
+keeps this daemon's own record under a lease.
 
-Calls are made from state, not from a queue: each step requests what is due and not yet
-requested. While the store does not answer, only one cheap call probes whether it is
-back; calls are priced, rejected ones too.
+Each step requests whatever is due and not yet requested; there is no queue of calls.
+After a failed call only one cheap call at a time probes whether the store is back,
+since the store charges for rejected calls too.
 
-Owns the lease, the revisions and the times of the calls; relies on its driver to make
-them, and hands policies to `policy_distribution` and records to `peer_table`. When the
-store's era changes, all numbers that it gave before are dropped.
+Owns the lease, the revisions and the schedule of the calls; the driver makes them. New
+policies go to `policy_distribution`, records to `peer_table`. A change of the store's
+era discards every lease and revision from before it.
 """
 
 from __future__ import annotations
@@ -20,171 +20,159 @@
 from ferrydeck.mesh import context, effects, policy, store
 from ferrydeck.mesh.teams import policy_freshness
 
-LEASE_S = 30.0
-"""Life of this box's record without a renewal, seconds: longer than the outages of the
-store that the users have had, so that most pass without a trace."""
-RENEW_EVERY_S = 2.0
-"""Pause between renewals, seconds: the users want records that lapsed while the store
-was away back two seconds after its return, and a renewal costs a tenth of a call."""
-BOXES_FIRST_S = 1.0
-BOXES_EVERY_S = 5.0
-"""Pause between reads of the records, doubled from the first figure to the second,
-seconds. Changes come at once on links; the records only join daemons that know
-nothing of each other."""
-MISSING_S = 5.0
-"""A stale read that lacks this box's record this long after it was written shows
-that it was taken away, seconds; such reads are up to three seconds old."""
-POLICY_WAIT_S = 10.0
-"""How long one watch of the policy waits, seconds. A watch whose connection was cut
-receives nothing for that long; other daemons announce a change sooner."""
-WATCHERS = 4
-"""Daemons of a data centre that watch the policy; the others receive it on links, and
-watch for themselves while their data centre is cut off."""
-GATHER_S = 0.4
-"""Pause before the policy is asked for anew after a change, seconds: changes that come
-together then cost one call. The users want a change in force within two seconds."""
-WATCH_AFTER_S = 1.0
-"""From the start until a daemon with a policy may watch, seconds: its links, which
-show how many others do, take less."""
-CONFIRM_AGE_S = 1.0
-"""Age of the confirmation that the policy is the newest at which the first daemon of a
-data centre asks for a new one, seconds. Requests with keys are to be served for three
-seconds after a daemon has lost its way to the store, and none are to run after five:
-with the passing on, confirmations are then one to one and a half seconds old when it is
-lost."""
-CONFIRM_STAGGER_S = 0.25
-"""How much later each further daemon of a data centre asks, seconds: by then it has
-mostly received the confirmation that the one before got."""
-CONFIRM_RANKS = 6
-"""Daemons after which pauses grow no longer, so that a confirmation never gets too old
-while any daemon that can be reached can ask."""
-RETRY_S = 0.25
-RETRY_MOST_S = 0.5
-"""Pause after a call that was not answered, doubled up to the second figure, seconds:
-with the client's limit of 1.5 s, records are back two seconds after the store's
-return."""
-REJECTED_S = 1.7
-"""The longest time from one call that was rejected at once to the next, seconds.
-Rejected calls are priced as well: at half a second, 68 of 194 boxes that the store
-rejected for nine seconds made 1,500 of the day's 4,155 priced calls."""
+LEASE_TTL_S = 30.0
+"""Lifetime of this box's record without renewal, seconds; outlasts most outages."""
+LEASE_RENEWAL_INTERVAL_S = 2.0
+"""Seconds between renewals; also bounds how late a lapsed record is written again."""
+MIN_READ_INTERVAL_S = 1.0
+"""Seconds from the first read of the records to the second; doubles with each read."""
+MAX_READ_INTERVAL_S = 5.0
+"""Upper limit of that interval; changes arrive on links, records only add daemons."""
+MISSING_TIMEOUT_S = 5.0
+"""Seconds after the write from which a read without this box's record means that the
+record was deleted; longer than the age of a stale read, up to three seconds."""
+POLICY_WATCH_TIMEOUT_S = 10.0
+"""Duration of one watch of the policy, seconds; a watch on a broken connection
+receives nothing for that long, and other daemons announce a change sooner."""
+MAX_POLICY_WATCHERS = 4
+"""Daemons of a data centre that watch the policy; the others receive it on links."""
+MIN_WATCH_INTERVAL_S = 0.4
+"""Seconds from a policy change to the next watch, so that one call covers a burst of
+changes; a change must be in force within two seconds."""
+WATCH_START_DELAY_S = 1.0
+"""Seconds from the start to the first watch; the links are up by then."""
+CONFIRMATION_INTERVAL_S = 1.0
+"""Age of a confirmation, seconds, at which the first daemon of a data centre requests
+a new one; leaves time for requests with keys to be served after the store is lost."""
+CONFIRMATION_STAGGER_S = 0.25
+"""Additional delay of each further daemon of a data centre, seconds; most receive the
+confirmation that the daemon before them requested."""
+MAX_STAGGER_RANK = 6
+"""Rank from which the delay no longer grows, so that confirmations stay fresh."""
+MIN_RETRY_DELAY_S = 0.25
+"""Delay before the first retry of a failed call, seconds; doubles with each failure."""
+MAX_RETRY_DELAY_S = 0.5
+"""Upper limit of that delay; bounds how late records return after an outage."""
+MAX_REJECTED_CALL_INTERVAL_S = 1.7
+"""Upper limit of the time between calls that are rejected at once, seconds; longer, as
+the store charges for them."""
 
 
 @attrs.define(kw_only=True)
 class Registry:
-    """Keeps this box's record in the store, reads the others' and the policy."""
+    """Keeps this box's record in the store, and reads other records and the policy."""
 
     ctx: context.Context
     on_policy: Callable[[float, policy.Policy, str], None]
     on_records: Callable[[float, tuple[store.BoxRecord, ...]], None]
     data_centre_rank: Callable[[], int]
-    """Returns how many linked daemons of this data centre come before this one."""
+    """Returns how many linked daemons of this data centre precede this one."""
     is_partitioned: Callable[[], bool]
-    """Returns whether no daemon of another data centre is linked, though some are
-    known."""
+    """Returns whether other data centres are known, but none is linked."""
     any_link_up: Callable[[], bool]
-    """Returns whether this daemon is linked with any other one."""
+    """Returns whether a link to any other daemon is up."""
     policy_freshness: policy_freshness.PolicyFreshness
     reachable: bool = False
     """Whether the last call was answered."""
     last_answer_at: float = -1e9
     era: int = 0
-    """The newest era that the store has stated; 0 for none."""
+    """The newest era stated by the store; 0 for none."""
     policy_revision: int | None = None
-    """The revision from which the policy is watched; `None` where it is to be read."""
+    """The revision from which the policy is watched; `None` if it is to be read."""
     records_read: bool = False
-    """Whether the records were read at least once."""
     has_restarted: bool = False
     """Whether the first read had a record of an earlier daemon of this box."""
-    _down: bool = False
-    """Whether the last call failed, so that only one probes for the store's return."""
+    _is_probing: bool = False
+    """Whether the last call failed, so that only probes are sent."""
     _outstanding: dict[type, store.Request] = attrs.Factory(dict)
-    """Requests without an answer, one a type."""
-    _requested_at: float = 0.0
-    """When the newest of them was made."""
-    _stepped_at: float = 0.0
-    """When it was last checked what is due."""
-    _started: float = 0.0
-    _quiet_until: float = 0.0
-    _pause_s: float = RETRY_S
-    _lease_id: int = 0
-    _renew_at: float = 0.0
+    """Unanswered requests, at most one of each type."""
+    _last_request_at: float = 0.0
+    _last_step_at: float = 0.0
+    _started_at: float = 0.0
+    _retry_at: float = 0.0
+    """No call is made before this time."""
+    _retry_delay_s: float = MIN_RETRY_DELAY_S
+    _lease: int = 0
+    """The lease of this box's record; 0 for none."""
+    _next_renewal_at: float = 0.0
     _written_at: float | None = None
-    _boxes_at: float = 0.0
-    _unreadable: int = 0
-    """Entries among the records that could not be read, at the last read."""
-    _boxes_pause_s: float = BOXES_FIRST_S
-    _boxes_may_be_stale: bool = True
-    """Whether the next read of the records may be seconds old."""
-    _policy_at: float = 0.0
-    _watched_at: float = 0.0
-    """When the watch of the policy was requested."""
-    _policy_may_be_stale: bool = True
-    """Whether the next read of the policy may be seconds old."""
+    _next_read_at: float = 0.0
+    _unreadable_records: int = 0
+    """Entries that could not be parsed as records at the last read."""
+    _read_delay_s: float = MIN_READ_INTERVAL_S
+    _allow_stale_records: bool = True
+    """Whether the next read of the records may return data that is seconds old."""
+    _next_watch_at: float = 0.0
+    _watch_started_at: float = 0.0
+    _allow_stale_policy: bool = True
+    """Whether the next read of the policy may return data that is seconds old."""
 
     def start(self, now: float) -> None:
         """Read the policy and the records, and write this box's own."""
-        self._started = now
+        self._started_at = now
         self.step(now)
 
     def step(self, now: float) -> None:
-        """Request what is due; to be called often."""
-        self._stepped_at = now
-        if self.ctx.stopping or now < self._quiet_until:
+        """Make the calls that are due."""
+        self._last_step_at = now
+        if self.ctx.stopping or now < self._retry_at:
             return
-        if self._down:
+        if self._is_probing:
             if not self._outstanding.keys() & {store.KeepLease, store.ReadBoxes}:
-                self._probe()
+                self._probe_store()
             return
-        self._step_policy(now)
-        self._step_confirmation(now)
-        self._step_record(now)
-        if now >= self._boxes_at:
-            self._request(store.ReadBoxes(stale=self._boxes_may_be_stale))
+        self._request_policy(now)
+        self._request_confirmation(now)
+        self._maintain_record(now)
+        if now >= self._next_read_at:
+            self._send_request(store.ReadBoxes(stale=self._allow_stale_records))
 
     def answer_received(
         self, now: float, request: store.Request, result: store.Result, era: int
     ) -> None:
-        """Act on the store's answer, which states the store's era (0 for none)."""
-        current = self._outstanding.get(type(request)) is request
-        if current:
+        """Handle the store's answer and the era that it states (0 for none)."""
+        is_outstanding = self._outstanding.get(type(request)) is request
+        if is_outstanding:
             del self._outstanding[type(request)]
         if isinstance(result, store.NoAnswer):
-            if current:
-                self._failed(now, result, now - self._requested_at)
+            if is_outstanding:
+                self._call_failed(now, result, now - self._last_request_at)
             return
-        self._reached(now)
+        self._call_answered(now)
         if era > self.era:
-            self._era_changed(era)
-        if self._of_another_era(request, era):
-            self._act_on_outdated(now, request, result)
+            self._switch_era(era)
+        if self._is_from_other_era(request, era):
+            self._handle_outdated_answer(now, request, result)
         else:
-            self._act_on(now, request, result)
+            self._handle_answer(now, request, result)
         self.step(now)
 
-    def _act_on(self, now: float, request: store.Request, result: store.Result) -> None:
-        """Act on an answer of the newest era."""
+    def _handle_answer(
+        self, now: float, request: store.Request, result: store.Result
+    ) -> None:
+        """Handle an answer of the newest era."""
         match request:
             case store.ReadPolicy() | store.WatchPolicy():
-                self._policy_answered(now, result)
+                self._handle_policy(now, result)
             case store.ProvePolicy():
-                self._confirmation_answered(now, request, result)
+                self._handle_confirmation(now, request, result)
             case store.ReadBoxes():
-                self._boxes_answered(now, request, result)
+                self._handle_records(now, request, result)
             case store.GrantLease():
-                self._granted(now, result)
+                self._handle_lease_grant(now, result)
             case store.KeepLease(lease=lease) | store.PutBox(lease=lease):
-                if lease == self._lease_id:
-                    self._leased(now, request, result)
+                if lease == self._lease:
+                    self._handle_lease_use(now, request, result)
 
-    def watch_age_s(self, now: float) -> float:
-        """Return for how long the watch of the policy waits, seconds; -1 for none."""
-        watched = store.WatchPolicy in self._outstanding
-        return now - self._watched_at if watched else -1.0
+    def policy_watch_age_s(self, now: float) -> float:
+        """Return the age of the running policy watch, seconds; -1 for none."""
+        is_watching = store.WatchPolicy in self._outstanding
+        return now - self._watch_started_at if is_watching else -1.0
 
-    def _era_changed(self, era: int) -> None:
-        """Drop all that hangs on numbers of an earlier era.
+    def _switch_era(self, era: int) -> None:
+        """Discard leases and revisions of the earlier era.
 
-        The policy in force stays: what was accepted once is accepted again.
+        The policy in force stays: it is valid in the new era too.
         """
         if self.era:
             self.ctx.note(
@@ -193,24 +181,24 @@
                 era=era,
                 old=self.era,
                 revision=self.policy_revision,
-                lease=self._lease_id,
+                lease=self._lease,
             )
-            self._policy_may_be_stale = False
+            self._allow_stale_policy = False
         self.era = era
         self.policy_revision = None
-        self._policy_at = 0.0
+        self._next_watch_at = 0.0
         if self.ctx.policy is not None:
             self.ctx.policy.revision = 0
-        self._lease_id = 0
+        self._lease = 0
         self._written_at = None
-        for kind in typing.get_args(store.Numbered):
-            self._outstanding.pop(kind, None)
+        for request_type in typing.get_args(store.Numbered):
+            self._outstanding.pop(request_type, None)
 
-    def _of_another_era(self, request: store.Request, era: int) -> bool:
-        """Return whether an answer, or the number it was asked with, is of another era.
+    def _is_from_other_era(self, request: store.Request, era: int) -> bool:
+        """Return whether an answer, or the number in its request, is of another era.
 
-        Such an answer may come late, from before the store was away. One that states
-        no era is taken to be of the newest.
+        Answers may be delayed from before the store was restored; one without an era
+        counts as one of the newest era.
         """
         if not era:
             return False
@@ -218,188 +206,194 @@
             return True
         return isinstance(request, store.Numbered) and request.era != era
 
-    def _act_on_outdated(
+    def _handle_outdated_answer(
         self, now: float, request: store.Request, result: store.Result
     ) -> None:
-        """Take the policy of an answer that says nothing else of the newest era."""
+        """Use only the policy of an answer of another era."""
         match request:
             case store.ReadBoxes():
-                self._boxes_may_be_stale = False
+                self._allow_stale_records = False
             case store.ReadPolicy():
-                self._policy_may_be_stale = False
+                self._allow_stale_policy = False
         if isinstance(result, store.PolicyFound):
             if result.policy is not None:
                 result.policy.revision = 0
-            self._offer(now, result)
+            self._pass_on_policy(now, result)
 
-    def _offer(self, now: float, found: store.PolicyFound) -> None:
+    def _pass_on_policy(self, now: float, found: store.PolicyFound) -> None:
         if found.fault:
             self.ctx.note("policy-rejected", reason=found.fault, source="store")
         if found.policy is not None:
             self.on_policy(now, found.policy, "store")
 
-    def _step_policy(self, now: float) -> None:
+    def _request_policy(self, now: float) -> None:
         if self._outstanding.keys() & {store.ReadPolicy, store.WatchPolicy}:
             return
-        if not self._wants_policy(now):
+        if not self._policy_request_due(now):
             return
         if self.policy_revision is None:
-            self._request(store.ReadPolicy(stale=self._policy_may_be_stale))
+            self._send_request(store.ReadPolicy(stale=self._allow_stale_policy))
             return
-        self._watched_at = now
-        self._request(
+        self._watch_started_at = now
+        self._send_request(
             store.WatchPolicy(
-                after=self.policy_revision, wait_s=POLICY_WAIT_S, era=self.era
+                after=self.policy_revision, wait_s=POLICY_WATCH_TIMEOUT_S, era=self.era
             )
         )
 
-    def _wants_policy(self, now: float) -> bool:
+    def _policy_request_due(self, now: float) -> bool:
         if self.ctx.policy is None:
             return True
-        if now < self._policy_at:
+        if now < self._next_watch_at:
             return False
-        if now - self._started < WATCH_AFTER_S:
+        if now - self._started_at < WATCH_START_DELAY_S:
             return False
-        # Those who watch here may have lost the store, and nobody else tells of it.
-        return self.data_centre_rank() < WATCHERS or self.is_partitioned()
+        # In a partition, the watchers may have lost the store and announce nothing.
+        return self.data_centre_rank() < MAX_POLICY_WATCHERS or self.is_partitioned()
 
-    def _step_confirmation(self, now: float) -> None:
-        """Ask whether the policy is still the newest, where keys depend on that."""
-        held = self.ctx.policy
+    def _request_confirmation(self, now: float) -> None:
+        """Ask whether the policy is still the newest, if keys depend on it."""
+        current = self.ctx.policy
         if (
-            held is None
-            or not held.teams
+            current is None
+            or not current.teams
             or self.policy_freshness.revocation_timeout_s is None
         ):
             return
         if store.ProvePolicy in self._outstanding:
             return
-        age_s = self.policy_freshness.age_s(now) - CONFIRM_AGE_S
-        if age_s < 0:
+        overdue_s = self.policy_freshness.age_s(now) - CONFIRMATION_INTERVAL_S
+        if overdue_s < 0:
             return
-        if age_s < CONFIRM_STAGGER_S * min(self.data_centre_rank(), CONFIRM_RANKS):
+        if overdue_s < CONFIRMATION_STAGGER_S * min(
+            self.data_centre_rank(), MAX_STAGGER_RANK
+        ):
             return
-        self._request(
+        self._send_request(
             store.ProvePolicy(
-                version=held.version,
-                revision=held.revision,
+                version=current.version,
+                revision=current.revision,
                 era=self.era,
                 asked_at=now,
             )
         )
 
-    def _step_record(self, now: float) -> None:
+    def _maintain_record(self, now: float) -> None:
         """Request a lease, write the record under it, or renew the lease."""
-        if not self._lease_id:
-            self._request(store.GrantLease(ttl_s=LEASE_S))
+        if not self._lease:
+            self._send_request(store.GrantLease(ttl_s=LEASE_TTL_S))
         elif self._written_at is None:
-            self._request(
-                store.PutBox(record=self._record(), lease=self._lease_id, era=self.era)
+            self._send_request(
+                store.PutBox(record=self._record(), lease=self._lease, era=self.era)
             )
-        elif now >= self._renew_at:
-            self._request(store.KeepLease(lease=self._lease_id, era=self.era))
+        elif now >= self._next_renewal_at:
+            self._send_request(store.KeepLease(lease=self._lease, era=self.era))
 
-    def _probe(self) -> None:
-        """Make the cheapest call there is, to see whether the store is back."""
-        if self._lease_id:
-            self._request(store.KeepLease(lease=self._lease_id, era=self.era))
+    def _probe_store(self) -> None:
+        """Make the cheapest call, to find out whether the store is back."""
+        if self._lease:
+            self._send_request(store.KeepLease(lease=self._lease, era=self.era))
         else:
-            self._request(store.ReadBoxes(stale=True))
+            self._send_request(store.ReadBoxes(stale=True))
 
-    def _policy_answered(self, now: float, result: store.Result) -> None:
+    def _handle_policy(self, now: float, result: store.Result) -> None:
         if isinstance(result, store.HistoryGone):
-            # A stale read would lead to a revision that is forgotten as well.
+            # A stale read may return a revision that the store has discarded too.
             self.policy_revision = None
-            self._policy_may_be_stale = False
+            self._allow_stale_policy = False
             return
         if not isinstance(result, store.PolicyFound):
             return
         self.policy_revision = max(self.policy_revision or 0, result.at)
-        self._offer(now, result)
+        self._pass_on_policy(now, result)
         if result.policy is not None:
-            self._policy_at = now + GATHER_S
+            self._next_watch_at = now + MIN_WATCH_INTERVAL_S
 
-    def _confirmation_answered(
+    def _handle_confirmation(
         self, now: float, request: store.ProvePolicy, result: store.Result
     ) -> None:
         match result:
             case store.PolicyProved():
-                self._confirmed(request.version, request.asked_at)
+                self._add_confirmation(request.version, request.asked_at)
             case store.PolicyFound(policy=found) if found is not None:
-                self._policy_answered(now, result)
-                self._set_revision(found)
-                # A store that holds an older policy has lost the one in force, and
-                # perhaps a newer one.
+                self._handle_policy(now, result)
+                self._update_revision(found)
+                # A store with an older policy than the one in force has lost changes,
+                # possibly a newer policy too.
                 if found.version >= self.ctx.version:
-                    self._confirmed(found.version, request.asked_at)
+                    self._add_confirmation(found.version, request.asked_at)
             case store.PolicyFound(fault=fault):
                 self.ctx.note("policy-rejected", reason=fault, source="store")
 
-    def _confirmed(self, version: int, asked_at: float) -> None:
-        """Take a confirmation, which counts from when its question was sent."""
+    def _add_confirmation(self, version: int, asked_at: float) -> None:
+        """Record a confirmation, whose age counts from the time of its request."""
         self.policy_freshness.add_confirmation(self.ctx.version, version, asked_at)
 
-    def _set_revision(self, found: policy.Policy) -> None:
-        """Keep the revision of the policy in force, which another daemon sent."""
-        held = self.ctx.policy
-        if held is not None and held.version == found.version:
-            held.revision = found.revision
+    def _update_revision(self, found: policy.Policy) -> None:
+        """Set the revision of the policy in force, which another daemon sent."""
+        current = self.ctx.policy
+        if current is not None and current.version == found.version:
+            current.revision = found.revision
 
-    def _boxes_answered(
+    def _handle_records(
         self, now: float, request: store.ReadBoxes, result: store.Result
     ) -> None:
         if not isinstance(result, store.BoxesFound):
             return
         if not self.records_read:
             self.records_read = True
-            self.has_restarted = self._earlier_record(result.records)
-        if result.odd != self._unreadable:
-            self._unreadable = result.odd
+            self.has_restarted = self._has_earlier_record(result.records)
+        if result.odd != self._unreadable_records:
+            self._unreadable_records = result.odd
             self.ctx.note("records", outcome="odd", count=result.odd)
         self.on_records(now, result.records)
-        if request.stale and not self._boxes_may_be_stale:
+        if request.stale and not self._allow_stale_records:
             return
-        self._boxes_may_be_stale = True
-        self._boxes_at = now + self._boxes_pause_s * (0.8 + 0.4 * self.ctx.rng.random())
-        self._boxes_pause_s = min(BOXES_EVERY_S, 2 * self._boxes_pause_s)
-        own = any(one.box == self.ctx.identity.box for one in result.records)
-        written = self._written_at is not None and now - self._written_at > MISSING_S
-        if written and not own:
-            self.ctx.note("record-lost", reason="missing", lease=self._lease_id)
+        self._allow_stale_records = True
+        self._next_read_at = now + self._read_delay_s * (
+            0.8 + 0.4 * self.ctx.rng.random()
+        )
+        self._read_delay_s = min(MAX_READ_INTERVAL_S, 2 * self._read_delay_s)
+        has_own = any(one.box == self.ctx.identity.box for one in result.records)
+        expected = (
+            self._written_at is not None and now - self._written_at > MISSING_TIMEOUT_S
+        )
+        if expected and not has_own:
+            self.ctx.note("record-lost", reason="missing", lease=self._lease)
             self._written_at = None
 
-    def _earlier_record(self, records: tuple[store.BoxRecord, ...]) -> bool:
+    def _has_earlier_record(self, records: tuple[store.BoxRecord, ...]) -> bool:
         own = self.ctx.identity
         return any(
             one.box == own.box and one.incarnation != own.incarnation for one in records
         )
 
-    def _granted(self, now: float, result: store.Result) -> None:
+    def _handle_lease_grant(self, now: float, result: store.Result) -> None:
         if isinstance(result, store.Leased):
-            self._lease_id = result.lease
-            self._renew_at = now + RENEW_EVERY_S
+            self._lease = result.lease
+            self._next_renewal_at = now + LEASE_RENEWAL_INTERVAL_S
             self._written_at = None
 
-    def _leased(
+    def _handle_lease_use(
         self,
         now: float,
         request: store.KeepLease | store.PutBox,
         result: store.Result,
     ) -> None:
-        """Act on the answer to a call with the lease that is held."""
+        """Handle the answer to a call that used the current lease."""
         if isinstance(result, store.LeaseOver):
-            self.ctx.note("lease-lost", reason="over", lease=self._lease_id)
-            self._lease_id = 0
+            self.ctx.note("lease-lost", reason="over", lease=self._lease)
+            self._lease = 0
             return
         if isinstance(request, store.KeepLease):
-            self._renew_at = now + RENEW_EVERY_S
+            self._next_renewal_at = now + LEASE_RENEWAL_INTERVAL_S
             return
         self._written_at = now
         if not self.any_link_up():
-            # Of two daemons that start together, the one whose record comes later
-            # sees the other's, if its read is not stale.
-            self._boxes_may_be_stale = False
-            self._boxes_at = now
+            # When two daemons start together, the later writer finds the other's
+            # record, provided that its read is not stale.
+            self._allow_stale_records = False
+            self._next_read_at = now
 
     def _record(self) -> store.BoxRecord:
         identity = self.ctx.identity
@@ -411,33 +405,33 @@
             service=identity.service,
         )
 
-    def _failed(self, now: float, result: store.NoAnswer, took_s: float) -> None:
+    def _call_failed(self, now: float, result: store.NoAnswer, took_s: float) -> None:
         if self.reachable:
             self.ctx.note("store-lost", reason=result.detail)
         self.reachable = False
-        self._down = True
-        most_s = max(RETRY_MOST_S, REJECTED_S - took_s)
-        self._pause_s = min(most_s, self._pause_s)
-        self._quiet_until = now + self._pause_s * (0.5 + self.ctx.rng.random() / 2)
-        self._pause_s *= 2
+        self._is_probing = True
+        max_delay_s = max(MAX_RETRY_DELAY_S, MAX_REJECTED_CALL_INTERVAL_S - took_s)
+        self._retry_delay_s = min(max_delay_s, self._retry_delay_s)
+        self._retry_at = now + self._retry_delay_s * (0.5 + self.ctx.rng.random() / 2)
+        self._retry_delay_s *= 2
 
-    def _reached(self, now: float) -> None:
+    def _call_answered(self, now: float) -> None:
         if not self.reachable:
             self.ctx.note(
                 "store-regained", silent_s=round(now - self.last_answer_at, 3)
             )
-        if self._down:
-            # A watch from before may wait on a connection that is cut.
+        if self._is_probing:
+            # An earlier watch may be waiting on a broken connection.
             self._outstanding.pop(store.WatchPolicy, None)
         self.reachable = True
-        self._down = False
-        self._quiet_until = 0.0
-        self._pause_s = RETRY_S
+        self._is_probing = False
+        self._retry_at = 0.0
+        self._retry_delay_s = MIN_RETRY_DELAY_S
         self.last_answer_at = now
 
-    def _request(self, request: store.Request) -> None:
+    def _send_request(self, request: store.Request) -> None:
         if type(request) in self._outstanding:
             return
         self._outstanding[type(request)] = request
-        self._requested_at = self._stepped_at
+        self._last_request_at = self._last_step_at
         self.ctx.emit(effects.AskStore(request=request))
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -99,7 +99,7 @@
             "store_silent_seconds": now - core.registry.last_answer_at,
             "store_era": core.registry.era,
             "policy_revision": _policy_revision(core),
-            "policy_watch_age_seconds": core.registry.watch_age_s(now),
+            "policy_watch_age_seconds": core.registry.policy_watch_age_s(now),
             **_retry_values(core),
             **others,
         }
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -102,7 +102,7 @@
     world.add_box("box-3", "hall-0", "desk")
     world.run(3.0)
     assert set(world.store.records) == set(world.boxes)
-    kept = {box.core.registry._lease_id for box in world.boxes.values()}
+    kept = {box.core.registry._lease for box in world.boxes.values()}
     assert len(kept) == len(world.boxes)
 
 
