--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -162,7 +162,7 @@
 
     def _all_linked(self) -> bool:
         known = self.peers.by_address.values()
-        return all(peer.link_state is peers.LinkState.UP for peer in known)
+        return all(peer.link is peers.LinkState.UP for peer in known)
 
     def _collect(self, now: float) -> list[effects.Effect]:
         while (timer := self.ctx.due(now)) is not None:
@@ -241,7 +241,7 @@
         self.peers.check_links(now)
         self.policies.refresh_confirmation(now)
         for peer in linked:
-            if peer.link_state is peers.LinkState.DOWN:
+            if peer.link is peers.LinkState.DOWN:
                 self.outbound.link_down(now, peer)
 
     def _count_targets(self, now: float) -> None:
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -55,7 +55,7 @@
             self._ack(heartbeat.conn, taken=True)
             return
         peer = self._peer_beside(heartbeat)
-        if peer is None or peer.link_state is not peers.LinkState.UP:
+        if peer is None or peer.link is not peers.LinkState.UP:
             self.ctx.note("report", outcome="refused", instance=heartbeat.target_id)
             self._ack(heartbeat.conn, taken=False)
             return
--- a/ferrydeck/mesh/inbound/retry_exchange.py
+++ b/ferrydeck/mesh/inbound/retry_exchange.py
@@ -45,6 +45,6 @@
         self.budget.report_received(now, address, counts.requests, counts.retries)
 
     def _takes_counts(self, peer: peers.Peer) -> bool:
-        linked = peer.link_state is peers.LinkState.UP
+        linked = peer.link is peers.LinkState.UP
         known = peer.protocol_version >= messages.RETRY_PROTOCOL
         return linked and known and peer.service == self.ctx.identity.service
--- a/ferrydeck/mesh/members/failure_detector.py
+++ b/ferrydeck/mesh/members/failure_detector.py
@@ -1,8 +1,8 @@
-"""When a box is given up: suspected, pinged, hung up on, dialled, forgotten.
+"""Detects failed boxes, and decides when to ping, dial, close a link or remove a peer.
 
-Owns the limits on silence and the rules that follow from them; relies on what `peers`
-records of each daemon. The only sign of a failed box is that nothing is received after
-something was sent, so silence is measured from the first message without a reply.
+Owns the timeouts and the rules that use them; relies on the state in `peers`. A failed
+box shows only by messages that get no reply, so silence is measured from the first
+message sent after which nothing was received.
 """
 
 from __future__ import annotations
@@ -12,27 +12,24 @@
 from ferrydeck.mesh.members import peers
 
 MIN_IDLE_PING_INTERVAL_S = 1.0
-"""A link on which nothing was sent for this long gets a ping, seconds: an idle
-fleet of 15 then sends 14 small messages a second from each daemon."""
+"""Shortest interval between pings on an idle link, seconds."""
 MAX_IDLE_PINGS_PER_S = 15.0
-"""Pings of idle links that a daemon sends at most, a second: with many daemons idle
-links are asked less often, so that the cost of a daemon does not grow with them."""
+"""Limit of pings on idle links per second and daemon; in large fleets idle links are
+pinged less often, so that the cost per daemon is bounded."""
 UNANSWERED_PING_DELAY_S = 0.15
-"""A link on which nothing came for this long after something was sent gets a ping,
-seconds: most answers of the users' sheets take longer, so one ping a request."""
+"""A link is pinged once a message has had no reply for this long, seconds."""
 IN_FLIGHT_PING_DELAY_S = 0.3
-"""A link with requests out on which nothing came for this long gets a ping, seconds:
-they are moved elsewhere 0.6 s after it, if it stays silent."""
+"""A link with requests in flight is pinged after this long without traffic, seconds."""
 SUSPECT_TIMEOUT_S = 0.35
-"""Silence after which a box is suspect and is sent nothing new, seconds: three ticks
-and the pause of a busy loop."""
+"""Silence after which a box gets no new requests, seconds; three link checks and the
+delay of a busy event loop."""
 SILENT_TIMEOUT_S = 0.6
-"""Silence after which a request that may run twice is sent to another box, seconds."""
+"""Silence after which idempotent requests are retried at another box, seconds."""
 LINK_TIMEOUT_S = 1.5
-"""Silence after which a link is dialled anew, seconds: the kernel would wait longer and
-longer before it sends again what a network cut has swallowed."""
+"""Silence after which a link is closed and redialled, seconds; after a partition TCP
+would back off for longer."""
 PEER_REMOVAL_TIMEOUT_S = 10.0
-"""A box without record and link is forgotten after this long, seconds."""
+"""A box with neither record nor link is removed after this long, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -47,7 +44,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class CloseLink:
-    """Close a link, to be dialled anew."""
+    """Close a link; it is redialled later."""
 
     reason: str
 
@@ -58,72 +55,68 @@
 
 
 Action = KeepLink | Dial | CloseLink | RemovePeer
-KEEP_LINK = KeepLink()
+KEEP = KeepLink()
 DIAL = Dial()
 REMOVE_PEER = RemovePeer()
 CLOSE_SILENT = CloseLink(reason="silent")
-CLOSE_DIAL_TIMEOUT = CloseLink(reason="no greeting")
+CLOSE_NO_HANDSHAKE = CloseLink(reason="handshake timed out")
 
 
 def next_action(now: float, peer: peers.Peer) -> Action:
-    """Return what is due for the link to a daemon."""
-    match peer.link_state:
+    """Return the action that is due for the link to a daemon."""
+    match peer.link:
         case peers.LinkState.UP:
-            return (
-                CLOSE_SILENT if _unanswered_s(now, peer) > LINK_TIMEOUT_S else KEEP_LINK
-            )
+            return CLOSE_SILENT if _silence_s(now, peer) > LINK_TIMEOUT_S else KEEP
         case peers.LinkState.DIALLING | peers.LinkState.HANDSHAKE:
-            return CLOSE_DIAL_TIMEOUT if now >= peer.dial_timer_at else KEEP_LINK
-    unlisted_since = max(peer.not_in_store_since, peer.last_received_at)
-    if not peer.in_store and now - unlisted_since > PEER_REMOVAL_TIMEOUT_S:
+            return CLOSE_NO_HANDSHAKE if now >= peer.timer_at else KEEP
+    last_seen_at = max(peer.not_in_store_since, peer.last_received_at)
+    if not peer.in_store and now - last_seen_at > PEER_REMOVAL_TIMEOUT_S:
         return REMOVE_PEER
-    return DIAL if now >= peer.dial_timer_at else KEEP_LINK
+    return DIAL if now >= peer.timer_at else KEEP
 
 
 def is_suspect(now: float, peer: peers.Peer) -> bool:
-    """Return whether a box is silent for so long that nothing new is sent there."""
+    """Return whether a box is silent for so long that it gets no new requests."""
     return now - peer.unanswered_since > SUSPECT_TIMEOUT_S
 
 
 def is_silent(now: float, peer: peers.Peer) -> bool:
-    """Return whether requests at a box are to be sent to other ones, if they may be."""
+    """Return whether a box is silent for so long that its requests are retried."""
     return now - peer.unanswered_since >= SILENT_TIMEOUT_S
 
 
-def ping_due(now: float, peer: peers.Peer, idle_s: float) -> bool:
-    """Return whether a daemon is to be asked for a sign of life.
+def ping_due(now: float, peer: peers.Peer, idle_interval_s: float) -> bool:
+    """Return whether a daemon is to be pinged.
 
-    `idle_s` is how long a link may rest, seconds (`longest_rest_s`).
+    `idle_interval_s` is the interval between pings on idle links, seconds.
     """
-    if now - peer.last_sent_at >= idle_s * peer.ping_jitter:
+    if now - peer.last_sent_at >= idle_interval_s * peer.ping_jitter:
         return True
-    unasked = peer.last_pinged_at < peer.unanswered_since
-    if unasked and _unanswered_s(now, peer) >= UNANSWERED_PING_DELAY_S:
+    not_pinged = peer.last_pinged_at < peer.unanswered_since
+    if not_pinged and _silence_s(now, peer) >= UNANSWERED_PING_DELAY_S:
         return True
     return bool(peer.in_flight) and _idle_s(now, peer) >= IN_FLIGHT_PING_DELAY_S
 
 
 def ping_due_near_suspect(now: float, peer: peers.Peer) -> bool:
-    """Return whether a daemon is asked as another one of its data centre is suspect.
+    """Return whether a daemon is to be pinged as another of its data centre is suspect.
 
-    The data centre may be cut off: without a ping each of its boxes would be found
-    silent by a request of its own.
+    The data centre may be partitioned: without pings, each of its boxes would cost a
+    request before it becomes suspect.
     """
-    return (
-        peer.link_state is peers.LinkState.UP and _idle_s(now, peer) > SUSPECT_TIMEOUT_S
-    )
+    return peer.link is peers.LinkState.UP and _idle_s(now, peer) > SUSPECT_TIMEOUT_S
 
 
 def idle_ping_interval_s(daemons: int) -> float:
-    """Return how long a link may rest before it gets a ping, seconds."""
+    """Return the interval between pings on an idle link, seconds."""
     return max(MIN_IDLE_PING_INTERVAL_S, daemons / MAX_IDLE_PINGS_PER_S)
 
 
-def _unanswered_s(now: float, peer: peers.Peer) -> float:
-    """Return how long a message has been without a reply; negative for none."""
+def _silence_s(now: float, peer: peers.Peer) -> float:
+    """Return how long a message has had no reply, seconds; negative for none."""
     return now - peer.unanswered_since
 
 
 def _idle_s(now: float, peer: peers.Peer) -> float:
-    """Return for how long nothing was sent or received, seconds."""
+    """Return how long nothing was sent or received, seconds."""
     return now - max(peer.last_received_at, peer.last_sent_at)
--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -1,8 +1,8 @@
 """The table of the other daemons and the links to them.
 
-Owns each daemon's record (`peers`) and the dialling, pinging and hanging up of links;
-`suspicion` says when each of them is due. Relies on the store's records and on
-addresses that daemons and the settings give.
+Owns the state of each daemon (`peers`), and dials, pings and closes links when
+`failure_detector` says that it is due. Daemons are found through the store's records,
+the settings, and incoming links.
 """
 
 from __future__ import annotations
@@ -15,47 +15,46 @@
 from ferrydeck.mesh.members import failure_detector, peers
 
 LINK_CHECK_INTERVAL_S = 0.1
-"""How often links are looked after on which something is out, seconds."""
+"""Interval between checks of links that are not idle, seconds."""
 IDLE_LINK_CHECK_INTERVAL_S = 1.0
-"""How often the others are, seconds: a link rests for as long at least before it is
-asked, and a look at 194 links took 0.2 ms ten times a second."""
+"""Interval between checks of all links, seconds; no idle link needs a ping sooner."""
 MIN_REFRESH_PING_INTERVAL_S = 0.15
-"""Pause between two pings that ask a daemon for its newest state, seconds."""
+"""Shortest interval between pings of a daemon for a newer confirmation, seconds."""
 DIAL_TIMEOUT_S = 1.0
-"""A dial that takes longer, with its handshake, is given up, seconds."""
+"""Timeout of a dial and its handshake, seconds."""
 MAX_REDIAL_DELAY_S = 1.0
-"""The longest pause between two dials, seconds: a box that is back is to serve soon."""
-MAX_DEPARTED_INCARNATIONS = 16
-"""Incarnations that have left and are remembered for a box, as names of a target."""
+"""Upper limit of the redial delay, seconds; a restarted box is linked soon."""
+MAX_DEPARTED = 16
+"""Names of departed incarnations that are remembered for each box."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class LinkCheckTimer:
-    """Time to look after the links."""
+    """Fires when links are to be checked."""
 
 
 @attrs.define(kw_only=True)
 class PeerTable:
-    """The other daemons by address, and the links to them."""
+    """The other daemons, by address, and the links to them."""
 
     ctx: context.Context
     by_address: dict[str, peers.Peer] = attrs.Factory(dict)
     departed: dict[str, collections.deque[str]] = attrs.Factory(dict)
-    """The newest incarnations of targets that are known to have left, by box."""
+    """The last target incarnations known to have left, by box."""
     _active: dict[str, peers.Peer] = attrs.Factory(dict)
-    """Those whose links are not up, or on which something is out, by address; in the
-    order in which they came, so that a seed plays the same in each process."""
+    """Daemons whose links are not idle, by address; insertion order keeps simulations
+    deterministic."""
     _next_full_check_at: float = 0.0
-    """When all links are looked at next."""
+    """When all links are checked next."""
     candidates_changed: bool = True
-    """Set when candidates may have changed; whoever caches them clears it."""
+    """Set when cached candidates are invalid; cleared by the code that caches them."""
 
     def start(self, now: float) -> None:
-        """Begin to look after links."""
+        """Schedule the first check of the links."""
         self.ctx.at(now + LINK_CHECK_INTERVAL_S, LinkCheckTimer())
 
     def add_record(self, now: float, record: store.BoxRecord) -> None:
-        """Take the record of a daemon."""
+        """Add or update a daemon by its record."""
         if record.address == self.ctx.identity.address:
             return
         peer = self._get_or_add(now, record.address)
@@ -67,19 +66,19 @@
         self.candidates_changed = True
 
     def add_address(self, now: float, address: str) -> None:
-        """Add a daemon by its address alone: one that dialled, or a seed."""
+        """Add a daemon by its address only: one that dialled, or a seed."""
         if address == self.ctx.identity.address or address in self.by_address:
             return
         peer = self._get_or_add(now, address)
         peer.not_in_store_since = now
 
     def set_protocol_version(self, address: str, protocol: int) -> None:
-        """Take the version of the protocol that a daemon has stated as it dialled."""
+        """Set the protocol version that a daemon stated when it dialled."""
         if (peer := self.by_address.get(address)) is not None:
             peer.protocol_version = protocol
 
     def replace_records(self, now: float, records: tuple[store.BoxRecord, ...]) -> None:
-        """Take all records that the store holds."""
+        """Update the table to all records in the store."""
         addresses = {one.address for one in records}
         for peer in self.by_address.values():
             if peer.in_store and peer.address not in addresses:
@@ -90,29 +89,27 @@
 
     def any_link_up(self) -> bool:
         """Return whether a link to any other daemon is up."""
-        return any(
-            peer.link_state is peers.LinkState.UP for peer in self.by_address.values()
-        )
+        return any(peer.link is peers.LinkState.UP for peer in self.by_address.values())
 
     def count_targets(self, service: str) -> int:
         """Return how many other daemons have a target of a service.
 
-        A daemon that is not linked counts by its record.
+        A daemon without a link counts by its record.
         """
         return sum(peer.service == service for peer in self.by_address.values())
 
     def data_centre_rank(self) -> int:
-        """Return how many linked daemons of this data centre come before this one."""
+        """Return how many linked daemons of this data centre precede this one."""
         own = self.ctx.identity
         return sum(
-            peer.link_state is peers.LinkState.UP
+            peer.link is peers.LinkState.UP
             and peer.data_centre == own.data_centre
             and peer.address < own.address
             for peer in self.by_address.values()
         )
 
     def is_partitioned(self) -> bool:
-        """Return whether other data centres are known, and none of them is linked."""
+        """Return whether other data centres are known, but none is linked."""
         own = self.ctx.identity.data_centre
         others = [
             peer
@@ -120,27 +117,26 @@
             if peer.data_centre not in ("", own)
         ]
         return bool(others) and all(
-            one.link_state is not peers.LinkState.UP for one in others
+            one.link is not peers.LinkState.UP for one in others
         )
 
     def check_links(self, now: float) -> None:
-        """Dial, ping and hang up as it is due.
+        """Dial, ping and close links as due.
 
-        Links on which nothing is out are looked at in turn, all of them once a second:
-        all that such a link may need is a ping after a long rest.
+        Idle links are checked once a second only, as all they need is a rare ping.
         """
         self.ctx.at(now + LINK_CHECK_INTERVAL_S, LinkCheckTimer())
-        idle_s = failure_detector.idle_ping_interval_s(len(self.by_address))
+        idle_interval_s = failure_detector.idle_ping_interval_s(len(self.by_address))
         for peer in self._peers_to_check(now):
-            self._check_link(now, peer, idle_s)
-            known = self.by_address.get(peer.address) is peer
-            if peer.idle or not known:
+            self._check_link(now, peer, idle_interval_s)
+            is_known = self.by_address.get(peer.address) is peer
+            if peer.idle or not is_known:
                 self._active.pop(peer.address, None)
             else:
                 self._active[peer.address] = peer
 
     def _peers_to_check(self, now: float) -> list[peers.Peer]:
-        """Return the daemons whose links are to be looked at now."""
+        """Return the daemons whose links are to be checked now."""
         if now >= self._next_full_check_at:
             self._next_full_check_at = now + IDLE_LINK_CHECK_INTERVAL_S
             due = list(self.by_address.values())
@@ -149,11 +145,11 @@
         return due
 
     def link_up(self, now: float, address: str) -> None:
-        """Begin the handshake on a link that was made."""
+        """Begin the handshake on a new link."""
         peer = self.by_address.get(address)
-        if peer is None or peer.link_state is not peers.LinkState.DIALLING:
+        if peer is None or peer.link is not peers.LinkState.DIALLING:
             return
-        peer.link_state = peers.LinkState.HANDSHAKE
+        peer.link = peers.LinkState.HANDSHAKE
         identity = self.ctx.identity
         hello = messages.Hello(
             protocol=messages.PROTOCOL,
@@ -168,9 +164,9 @@
         self.send(now, peer, hello)
 
     def link_down(self, now: float, address: str) -> peers.Peer | None:
-        """Record that a link ended; return the daemon it led to."""
+        """Mark a link as down; return its daemon."""
         peer = self.by_address.get(address)
-        if peer is None or peer.link_state is peers.LinkState.DOWN:
+        if peer is None or peer.link is peers.LinkState.DOWN:
             return None
         self._mark_down(now, peer, "ended")
         return peer
@@ -178,9 +174,9 @@
     def handshake_done(
         self, now: float, peer: peers.Peer, message: messages.Welcome
     ) -> None:
-        """Take a daemon's answer to `Hello`."""
+        """Complete a handshake by a daemon's answer to `Hello`."""
         restarted = peer.incarnation != message.incarnation
-        peer.link_state = peers.LinkState.UP
+        peer.link = peers.LinkState.UP
         peer.redial_delay_s = peers.MIN_REDIAL_DELAY_S
         peer.box = message.box
         peer.incarnation = message.incarnation
@@ -201,7 +197,7 @@
     def update_target_state(
         self, now: float, peer: peers.Peer, target_state: messages.TargetState
     ) -> None:
-        """Take the target state that a daemon announced."""
+        """Update the target state that a daemon announced."""
         old = peer.target_state
         peer.target_state = target_state
         peer.service = target_state.service
@@ -223,11 +219,11 @@
             )
 
     def departed_incarnations(self, box: str) -> list[str]:
-        """Return the incarnations of a box's target that are known to have left."""
+        """Return the incarnations of a box's target known to have left."""
         return list(self.departed.get(box, ()))
 
     def message_received(self, now: float, address: str) -> peers.Peer | None:
-        """Record that a daemon sent something; return the daemon, if it is known."""
+        """Record that a daemon sent a message; return the daemon if it is known."""
         peer = self.by_address.get(address)
         if peer is None:
             return None
@@ -244,7 +240,7 @@
         self.ctx.send(peer.address, message)
 
     def close_link(self, now: float, peer: peers.Peer, reason: str) -> None:
-        """Close a link, to be dialled anew."""
+        """Close a link; it is redialled later."""
         self.ctx.emit(effects.HangUp(address=peer.address))
         self._mark_down(now, peer, reason)
 
@@ -256,24 +252,22 @@
         return None
 
     def _add_departed(self, box: str, incarnation: str) -> None:
-        known = self.departed.setdefault(
-            box, collections.deque(maxlen=MAX_DEPARTED_INCARNATIONS)
-        )
+        known = self.departed.setdefault(box, collections.deque(maxlen=MAX_DEPARTED))
         if incarnation not in known:
             known.append(incarnation)
 
     def _get_or_add(self, now: float, address: str) -> peers.Peer:
         peer = self.by_address.get(address)
         if peer is None:
-            spread = 0.75 + 0.5 * self.ctx.rng.random()
-            peer = peers.Peer(address=address, dial_timer_at=now, ping_jitter=spread)
+            jitter = 0.75 + 0.5 * self.ctx.rng.random()
+            peer = peers.Peer(address=address, timer_at=now, ping_jitter=jitter)
             self.by_address[address] = peer
             self._active[address] = peer
             self.candidates_changed = True
         return peer
 
-    def _check_link(self, now: float, peer: peers.Peer, idle_s: float) -> None:
-        """Do what is due for the link to a daemon."""
+    def _check_link(self, now: float, peer: peers.Peer, idle_interval_s: float) -> None:
+        """Take the action that is due for a daemon's link."""
         match failure_detector.next_action(now, peer):
             case failure_detector.RemovePeer():
                 self._remove(peer)
@@ -281,8 +275,8 @@
                 self._dial(now, peer)
             case failure_detector.CloseLink(reason=reason):
                 self.close_link(now, peer, reason)
-            case failure_detector.KeepLink() if peer.link_state is peers.LinkState.UP:
-                self._keep_alive(now, peer, idle_s)
+            case failure_detector.KeepLink() if peer.link is peers.LinkState.UP:
+                self._keep_alive(now, peer, idle_interval_s)
 
     def _remove(self, peer: peers.Peer) -> None:
         del self.by_address[peer.address]
@@ -290,40 +284,36 @@
         self.ctx.note("member-lost", peer=peer.box, address=peer.address)
 
     def _dial(self, now: float, peer: peers.Peer) -> None:
-        peer.link_state = peers.LinkState.DIALLING
-        peer.dial_timer_at = now + DIAL_TIMEOUT_S
+        peer.link = peers.LinkState.DIALLING
+        peer.timer_at = now + DIAL_TIMEOUT_S
         peer.unanswered_since = float("inf")
         self.ctx.emit(effects.Dial(address=peer.address))
 
-    def _keep_alive(self, now: float, peer: peers.Peer, idle_s: float) -> None:
-        """Ping a daemon where it is due, and the quiet ones beside a new suspect."""
+    def _keep_alive(self, now: float, peer: peers.Peer, idle_interval_s: float) -> None:
+        """Ping a daemon if due, and its idle neighbours when it becomes suspect."""
         if failure_detector.is_suspect(now, peer) and not peer.was_suspect:
             peer.was_suspect = True
             self._ping_idle_in_data_centre(now, peer.data_centre)
-        if failure_detector.ping_due(now, peer, idle_s):
+        if failure_detector.ping_due(now, peer, idle_interval_s):
             self._ping(now, peer)
 
     def ping_for_confirmation(self, now: float) -> None:
-        """Ping the first daemon of this data centre and a random one for their state.
+        """Ping the first daemon of this data centre and a random one.
 
-        The first one is asked as it asks the store before the others do.
+        The first one requests confirmations from the store before the others do.
         """
-        linked = [
-            one
-            for one in self.by_address.values()
-            if one.link_state is peers.LinkState.UP
-        ]
+        linked = [p for p in self.by_address.values() if p.link is peers.LinkState.UP]
         if not linked:
             return
         own = self.ctx.identity.data_centre
-        near = [one for one in linked if one.data_centre == own]
-        first = min(near, key=lambda one: one.address, default=linked[0])
+        nearby = [p for p in linked if p.data_centre == own]
+        first = min(nearby, key=lambda peer: peer.address, default=linked[0])
         for peer in (first, self.ctx.rng.choice(linked)):
             if now - peer.last_pinged_at >= MIN_REFRESH_PING_INTERVAL_S:
                 self._ping(now, peer)
 
     def _ping_idle_in_data_centre(self, now: float, data_centre: str) -> None:
-        """Ping the quiet daemons of a data centre in which one is suspect."""
+        """Ping the idle daemons of a data centre that has a suspect."""
         for peer in self.by_address.values():
             if peer.data_centre != data_centre:
                 continue
@@ -336,16 +326,14 @@
 
     def _mark_down(self, now: float, peer: peers.Peer, reason: str) -> None:
         self._active[peer.address] = peer
-        if peer.link_state is peers.LinkState.UP:
+        if peer.link is peers.LinkState.UP:
             self.ctx.note(
                 "link-lost", reason=reason, peer=peer.box, waiting=len(peer.in_flight)
             )
-        peer.link_state = peers.LinkState.DOWN
+        peer.link = peers.LinkState.DOWN
         peer.unanswered_since = float("inf")
         peer.was_suspect = False
-        peer.dial_timer_at = now + peer.redial_delay_s * (
-            0.5 + self.ctx.rng.random() / 2
-        )
+        peer.timer_at = now + peer.redial_delay_s * (0.5 + self.ctx.rng.random() / 2)
         peer.redial_delay_s = min(MAX_REDIAL_DELAY_S, 2 * peer.redial_delay_s)
         peer.target_state = None
         self.candidates_changed = True
--- a/ferrydeck/mesh/members/peers.py
+++ b/ferrydeck/mesh/members/peers.py
@@ -1,6 +1,6 @@
-"""Another daemon as this one knows it: its link, its target's state, its load.
+"""What is known of another daemon: its link, its target's state, its load.
 
-`Peer` is only the record; `peer_table` keeps it up to date, `suspicion` judges it.
+`peer_table` updates a `Peer`, `failure_detector` evaluates it.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from ferrydeck.mesh.inbound import health
 
 MIN_REDIAL_DELAY_S = 0.25
-"""Pause before a lost link is dialled again, seconds."""
+"""Delay of the first redial of a lost link, seconds; doubles with each failure."""
 LOAD_REPORT_TTL_S = 0.5
-"""How long a reported load counts, seconds; it fades over that time."""
+"""Time over which the weight of a reported load falls to zero, seconds."""
 
 
 class LinkState(enum.Enum):
@@ -29,70 +29,70 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Peer:
-    """Another daemon as this one sees it; it is compared by identity."""
+    """Another daemon as seen by this one; compared by identity."""
 
     address: str
     box: str = ""
     incarnation: int = 0
     data_centre: str = ""
     protocol_version: int = 0
-    """The version of the protocol that it speaks; 0 until it has dialled here."""
+    """Its protocol version; 0 until it has dialled this daemon."""
     service: str = ""
-    """The service of its target, as its record or the daemon itself states it."""
-    link_state: LinkState = LinkState.DOWN
+    """The service of its target, by its record or its target state."""
+    link: LinkState = LinkState.DOWN
     target_state: messages.TargetState | None = None
     cold_until: float = 0.0
-    """Until when its target is still slow after its start."""
+    """When its target has warmed up after a cold start."""
     in_store: bool = False
-    """Whether its record is in the store, as far as known."""
+    """Whether the last read of the store had its record."""
     last_received_at: float = -1e9
     last_sent_at: float = -1e9
     last_pinged_at: float = -1e9
     unanswered_since: float = float("inf")
-    """When the first message was sent after which nothing was received."""
+    """When the first message was sent that has had no reply; infinite for none."""
     ping_jitter: float = 1.0
-    """What its idle time is multiplied by, so that pings do not go out together."""
+    """Factor on its idle ping interval, so that pings are not synchronized."""
     was_suspect: bool = False
-    """Whether it was suspect when last looked at."""
-    dial_timer_at: float = 0.0
-    """When it may be dialled; while it is, when the dial is given up."""
+    """Whether it was suspect at the last check."""
+    timer_at: float = 0.0
+    """When the next dial is due, or the current one times out."""
     redial_delay_s: float = MIN_REDIAL_DELAY_S
     not_in_store_since: float = 0.0
     in_flight: dict[int, float] = attrs.Factory(dict)
-    """Attempts sent there and not answered, with the time of sending."""
+    """Unanswered attempts sent there, by number, with the time of sending."""
     reported_in_flight: int = 0
-    """Requests there by the newest report, less those sent from here."""
+    """Requests at its target by the newest report, except those sent from here."""
     load_reported_at: float = -1e9
     service_time_ms: int = 0
-    """Service time of its target by the newest report; 0 while not known."""
+    """Service time of its target by the newest report; 0 if unknown."""
     reported_failure_ratio: float = 0.0
-    """Share of requests that its target failed or rejected, by the newest report."""
+    """Ratio of requests that its target failed or rejected, by the newest report."""
 
     @property
     def idle(self) -> bool:
-        """Return whether its link is up and nothing is out on it."""
-        silent = self.unanswered_since == float("inf")
-        return self.link_state is LinkState.UP and silent and not self.in_flight
+        """Return whether its link is up and nothing on it is unanswered."""
+        answered = self.unanswered_since == float("inf")
+        return self.link is LinkState.UP and answered and not self.in_flight
 
     @property
     def accepts_requests(self) -> bool:
-        """Return whether its inbound side takes new requests."""
+        """Return whether new requests may be sent to it."""
         target_state = self.target_state
         ready = target_state is not None and target_state.phase == messages.Phase.READY
-        return ready and self.link_state is LinkState.UP
+        return ready and self.link is LinkState.UP
 
     def update_load(self, now: float, load: messages.Load) -> None:
-        """Take the load of its target that the daemon reports."""
+        """Update the load of its target from a report."""
         self.reported_in_flight = max(0, load.busy - len(self.in_flight))
         self.service_time_ms = load.service_time_ms
         self.reported_failure_ratio = load.failed_pct / 100
         self.load_reported_at = now
 
     def estimated_failure_ratio(self, now: float) -> float:
-        """Return the share of requests that its target likely fails now."""
+        """Return the estimated ratio of requests that its target fails now."""
         return health.decayed(self.reported_failure_ratio, now - self.load_reported_at)
 
     def estimated_in_flight(self, now: float) -> float:
-        """Return how many requests are likely there now."""
+        """Return the estimated number of requests at its target now."""
         weight = max(0.0, 1.0 - (now - self.load_reported_at) / LOAD_REPORT_TTL_S)
         return len(self.in_flight) + self.reported_in_flight * weight
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -93,7 +93,7 @@
             "server_running": len(core.inbound.runs),
             "server_waiting": len(core.inbound.waiting),
             "server_limit": core.inbound.limit,
-            "peers_linked": sum(one.link_state is peers.LinkState.UP for one in known),
+            "peers_linked": sum(one.link is peers.LinkState.UP for one in known),
             "peers_known": len(known),
             "policy_proof_age_seconds": _freshness_age_s(core, now),
             "store_silent_seconds": now - core.registry.last_answer_at,
--- a/ferrydeck/mesh/outbound/attempts.py
+++ b/ferrydeck/mesh/outbound/attempts.py
@@ -73,7 +73,7 @@
         self.end(req)
         if peer is None:
             self.inbound.cancel(now, inbound.LOCAL_LINK, number)
-        elif peer.link_state is peers.LinkState.UP:
+        elif peer.link is peers.LinkState.UP:
             self.peers.send(now, peer, messages.Cancel(number=number))
 
     def credit(
--- a/ferrydeck/mesh/teams/quota_exchange.py
+++ b/ferrydeck/mesh/teams/quota_exchange.py
@@ -131,7 +131,7 @@
         found = {
             address: peer
             for address, peer in self.peers.by_address.items()
-            if peer.link_state is peers.LinkState.UP
+            if peer.link is peers.LinkState.UP
             and not failure_detector.is_suspect(now, peer)
         }
         if found.keys() != self._reachable.keys():
--- a/tests/mesh/test_lost_boxes.py
+++ b/tests/mesh/test_lost_boxes.py
@@ -59,7 +59,7 @@
     world.links.mend()
     world.run(4)
     link_states = [
-        peer.link_state
+        peer.link
         for box in world.boxes.values()
         for peer in box.core.peers.by_address.values()
     ]
