--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -76,7 +76,7 @@
             ctx=ctx, reply=self._reply, announce=self._announce, suspects=suspects
         )
         self.policy_freshness = policy_freshness.PolicyFreshness(
-            revocation_timeout_s=self.limits.revoke_s
+            ttl_s=self.limits.revoke_s
         )
         quota_enforcer = quota.QuotaEnforcer(rng=self.rng)
         self.coordination = quota_exchange.QuotaExchange(
--- a/ferrydeck/mesh/members/__init__.py
+++ b/ferrydeck/mesh/members/__init__.py
@@ -1,1 +1,1 @@
-"""The other daemons and the store: links, records, the policy in force."""
+"""Other daemons and the store: links, failure detection, records, the policy."""
--- a/ferrydeck/mesh/members/incoming_links.py
+++ b/ferrydeck/mesh/members/incoming_links.py
@@ -1,7 +1,7 @@
 """The links that other daemons dialled.
 
-Owns who is at the other end of each, and the least difference of clocks seen on it;
-the links that this daemon dialled are in `peer_table`. A link counts from its `Hello`.
+Owns the daemon and the least clock difference of each, from its `Hello` on. Links that
+this daemon dialled are in `peer_table`.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
     box: str
     address: str
-    """Where that daemon takes links."""
+    """The address at which that daemon accepts links."""
     min_clock_difference_s: float = float("inf")
-    """The least difference of the two clocks seen on it, seconds."""
+    """The least difference seen between both clocks, including the delay, seconds."""
 
     def excess_delay_s(self, now: float, sent_s: float) -> float:
-        """Return how long a message took beyond the least time seen, seconds."""
+        """Return the delay of a message beyond the least delay seen, seconds."""
         difference = now - sent_s
         self.min_clock_difference_s = min(self.min_clock_difference_s, difference)
         return difference - self.min_clock_difference_s
@@ -35,21 +35,21 @@
     ctx: context.Context
     by_id: dict[int, IncomingLink] = attrs.Factory(dict)
 
-    def add(self, now: float, number: int, hello: messages.Hello) -> None:
-        """Take the daemon that sends a `Hello` as the other end of a link."""
+    def add(self, now: float, link_id: int, hello: messages.Hello) -> None:
+        """Add a link by the `Hello` that the other daemon sent on it."""
         link = IncomingLink(box=hello.box, address=hello.address)
         link.excess_delay_s(now, hello.sent_s)
-        self.by_id[number] = link
+        self.by_id[link_id] = link
 
-    def remove(self, number: int) -> None:
-        """Forget a link that ended."""
-        self.by_id.pop(number, None)
+    def remove(self, link_id: int) -> None:
+        """Remove a closed link."""
+        self.by_id.pop(link_id, None)
 
-    def send(self, number: int, message: messages.Any) -> None:
+    def send(self, link_id: int, message: messages.Any) -> None:
         """Send a message on one link."""
-        self.ctx.emit(effects.SendBack(link=number, message=message))
+        self.ctx.emit(effects.SendBack(link=link_id, message=message))
 
     def broadcast(self, message: messages.Any) -> None:
-        """Send a message on each link."""
-        for number in self.by_id:
-            self.send(number, message)
+        """Send a message on all links."""
+        for link_id in self.by_id:
+            self.send(link_id, message)
--- a/ferrydeck/mesh/members/policy_distribution.py
+++ b/ferrydeck/mesh/members/policy_distribution.py
@@ -1,9 +1,9 @@
-"""Who is sent what when the policy changes.
+"""Applies new policies on this daemon, and passes them on to other daemons.
 
-A new policy comes from the store (`registry`) or from another daemon, which sends it on
-request: each message that states a version shows who has a newer one. Once in force
-here, three follow: the parts of this daemon that depend on it, its driver, and the
-daemons linked here, which see the version in the target state and ask in their turn.
+A new policy comes from the store (`registry`) or from another daemon. Messages state
+the version of the sender's policy; a receiver with an older one requests it. Applying a
+policy updates the parts of this daemon, its driver, and the target state sent to linked
+daemons, which states the new version.
 
 Owns which policy is in force; relies on the links to carry requests and replies.
 """
@@ -18,18 +18,16 @@
 from ferrydeck.mesh.outbound import traffic_split
 from ferrydeck.mesh.teams import policy_freshness, quota_exchange
 
-MIN_POLICY_REQUEST_INTERVAL_S = 0.2
-"""Pause between two requests for the same newer policy, seconds."""
-MAX_CONFIRMATION_AGE_S = 1.05
-"""Age of the confirmation that the policy is the newest from which other daemons are
-asked for a younger one, seconds: by then the first of the data centre has asked the
-store. Twelve idle daemons made 60 calls of the store in ten seconds with what they
-receive in pings of idle links, and make 36 at the most by asking."""
+RETRY_INTERVAL_S = 0.2
+"""Shortest interval between requests for a newer policy, seconds."""
+CONFIRMATION_PING_AGE_S = 1.05
+"""Age of the confirmation from which other daemons are pinged for a newer one, seconds;
+by then the first daemon of the data centre has requested one from the store."""
 
 
 @attrs.define(kw_only=True)
 class PolicyDistribution:
-    """Keeps the newest policy in force here, and passes it on."""
+    """Keeps the newest policy in force, and distributes it to other daemons."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
@@ -38,10 +36,10 @@
     splits: traffic_split.TrafficSplits
     policy_freshness: policy_freshness.PolicyFreshness
     quota_exchange: quota_exchange.QuotaExchange
-    _requested_at: float = -1e9
+    _asked_at: float = -1e9
 
     def apply(self, now: float, new: policy.Policy, source: str) -> None:
-        """Put a policy in force, unless it is older than the one that is."""
+        """Apply a policy if it is newer than the one in force."""
         if new.version <= self.ctx.version:
             return
         old = self.ctx.version
@@ -63,63 +61,56 @@
         self.inbound.target.probe(now)
 
     def broadcast_state(self, now: float) -> None:
-        """Send the target state, and with it the version, to all linked daemons."""
+        """Send the target state, which states the policy's version, to all daemons."""
         self.incoming_links.broadcast(self.inbound.state(now))
 
     def request_newer_policy(self, now: float, peer: peers.Peer, version: int) -> None:
-        """Ask a daemon that was dialled from here for its policy if it is newer."""
+        """Request the policy of a daemon that was dialled from here, if it is newer."""
         if self._should_request(now, version):
-            self._requested_at = now
+            self._asked_at = now
             self.peers.send(now, peer, messages.PolicyRequest())
 
     def request_newer_policy_back(self, now: float, link: int, version: int) -> None:
-        """Ask a daemon that dialled here for its policy if it is newer."""
+        """Request the policy of a daemon that dialled here, if it is newer."""
         if self._should_request(now, version):
-            self._requested_at = now
+            self._asked_at = now
             self.incoming_links.send(link, messages.PolicyRequest())
 
     def policy_reply(self) -> messages.PolicyReply | None:
-        """Return the policy in force for a daemon that asked; `None` for none."""
-        held = self.ctx.policy
-        if held is None:
+        """Return the reply to a policy request; `None` without a policy."""
+        current = self.ctx.policy
+        if current is None:
             return None
-        return messages.PolicyReply(version=held.version, raw=held.raw)
+        return messages.PolicyReply(version=current.version, raw=current.raw)
 
     def policy_received(self, raw: bytes, source: str) -> None:
-        """Have a policy read that another daemon sent."""
+        """Have the driver parse a policy that another daemon sent."""
         self.ctx.emit(effects.ReadPolicy(raw=raw, source=source))
 
     def make_pong(self, now: float, ping: messages.Ping) -> messages.Pong:
-        """Return the answer to a ping, with the confirmation's age if it is young."""
-        held, load = self.ctx.version, self.inbound.load(now)
+        """Return the reply to a ping, with the confirmation's age unless it expired."""
+        version, load = self.ctx.version, self.inbound.load(now)
         age_s = self.policy_freshness.age_s(now)
-        revoke_s = self.policy_freshness.revocation_timeout_s
-        if revoke_s is None or age_s >= revoke_s:
-            return messages.Pong(version=held, load=load)
+        ttl_s = self.policy_freshness.ttl_s
+        if ttl_s is None or age_s >= ttl_s:
+            return messages.Pong(version=version, load=load)
         return messages.ConfirmedPong(
-            version=held, load=load, asked_s=ping.sent_s, confirmation_age_s=age_s
+            version=version, load=load, asked_s=ping.sent_s, confirmation_age_s=age_s
         )
 
     def pong_received(self, pong: messages.Pong) -> None:
-        """Take the confirmation that a pong may state."""
+        """Record the confirmation in a pong, if there is one."""
         if isinstance(pong, messages.ConfirmedPong):
             at = pong.asked_s - pong.confirmation_age_s
             self.policy_freshness.add_confirmation(self.ctx.version, pong.version, at)
 
     def refresh_confirmation(self, now: float) -> None:
-        """Ping other daemons if they may have a younger confirmation."""
-        held = self.ctx.policy
-        if (
-            held is None
-            or not held.teams
-            or self.policy_freshness.revocation_timeout_s is None
-        ):
+        """Ping other daemons if they may have a newer confirmation."""
+        current = self.ctx.policy
+        if current is None or not current.teams or self.policy_freshness.ttl_s is None:
             return
-        if self.policy_freshness.age_s(now) > MAX_CONFIRMATION_AGE_S:
+        if self.policy_freshness.age_s(now) > CONFIRMATION_PING_AGE_S:
             self.peers.ping_for_confirmation(now)
 
     def _should_request(self, now: float, version: int) -> bool:
-        return (
-            version > self.ctx.version
-            and now - self._requested_at >= MIN_POLICY_REQUEST_INTERVAL_S
-        )
+        return version > self.ctx.version and now - self._asked_at >= RETRY_INTERVAL_S
--- a/ferrydeck/mesh/members/registry.py
+++ b/ferrydeck/mesh/members/registry.py
@@ -254,11 +254,7 @@
     def _request_confirmation(self, now: float) -> None:
         """Ask whether the policy is still the newest, if keys depend on it."""
         current = self.ctx.policy
-        if (
-            current is None
-            or not current.teams
-            or self.policy_freshness.revocation_timeout_s is None
-        ):
+        if current is None or not current.teams or self.policy_freshness.ttl_s is None:
             return
         if store.ProvePolicy in self._outstanding:
             return
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -135,6 +135,6 @@
     bound = (
         held is not None
         and bool(held.teams)
-        and core.policy_freshness.revocation_timeout_s is not None
+        and core.policy_freshness.ttl_s is not None
     )
     return core.policy_freshness.age_s(now) if bound else -1.0
--- a/ferrydeck/mesh/teams/policy_freshness.py
+++ b/ferrydeck/mesh/teams/policy_freshness.py
@@ -24,7 +24,7 @@
 class PolicyFreshness:
     """What one daemon knows of the age of its policy."""
 
-    revocation_timeout_s: float | None
+    ttl_s: float | None
     """How long a key may run requests after it was taken away, seconds; `None` where
     nothing was agreed."""
     confirmed_at: float = NEVER
@@ -54,7 +54,4 @@
 
     def is_fresh(self, now: float) -> bool:
         """Return whether keys can be relied on."""
-        return (
-            self.revocation_timeout_s is None
-            or self.age_s(now) < self.revocation_timeout_s - EXPIRY_MARGIN_S
-        )
+        return self.ttl_s is None or self.age_s(now) < self.ttl_s - EXPIRY_MARGIN_S
--- a/tests/mesh/teams/test_policy_freshness.py
+++ b/tests/mesh/teams/test_policy_freshness.py
@@ -20,7 +20,7 @@
 
 
 def test_a_proof_of_a_newer_policy_waits_for_that_policy():
-    freshness = policy_freshness.PolicyFreshness(revocation_timeout_s=5.0)
+    freshness = policy_freshness.PolicyFreshness(ttl_s=5.0)
     freshness.add_confirmation(4, 5, 10.0)
     assert not freshness.is_fresh(10.5)
     freshness.policy_applied(5)
@@ -29,7 +29,7 @@
 
 
 def test_a_proof_of_an_older_policy_counts_for_a_newer_one():
-    freshness = policy_freshness.PolicyFreshness(revocation_timeout_s=5.0)
+    freshness = policy_freshness.PolicyFreshness(ttl_s=5.0)
     freshness.add_confirmation(7, 4, 10.0)
     assert freshness.is_fresh(14.0)
 
