--- a/ferrydeck/mesh/teams/__init__.py
+++ b/ferrydeck/mesh/teams/__init__.py
@@ -1,1 +1,1 @@
-"""Teams: keys, the freshness of the policy that holds them, and quotas."""
+"""Teams: API keys, access control, the freshness of the policy, and quotas."""
--- a/ferrydeck/mesh/teams/keys.py
+++ b/ferrydeck/mesh/teams/keys.py
@@ -1,6 +1,6 @@
-"""Teams and the keys by which their requests are known.
+"""Teams, and the API keys that identify their requests.
 
-Owns the salted digests of the keys; the policy holds one keyring.
+Owns the salted digests of the keys; each policy has one keyring.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 import attrs
 
 DIGEST_BYTES = 16
-"""Length of what is kept of a key, bytes: two keys of a policy never share it."""
+"""Length of a key's digest, bytes; long enough to rule out collisions."""
 SALT_BYTES = 16
-"""Length of a keyring's secret, bytes."""
+"""Length of a keyring's random salt, bytes."""
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -23,25 +23,24 @@
 
     name: str
     priority: int | None = None
-    """Its place in the order of shedding, before its routes'; `None` for theirs."""
+    """Shedding priority, which precedes that of the route; `None` for the lowest."""
     rate_per_s: float = 0.0
-    """Requests that it may have run, a second; 0 for no limit."""
+    """Limit of requests per second; 0 for no limit."""
     burst: float = 0.0
-    """Requests that it may have run beyond its rate."""
+    """Requests allowed beyond the rate."""
 
     @property
     def has_quota(self) -> bool:
-        """Return whether it has a quota."""
+        """Return whether the team has a quota."""
         return self.rate_per_s > 0
 
 
 @attrs.define(kw_only=True)
 class Keyring:
-    """The keys that count, by salted digest.
+    """The valid keys, by salted digest.
 
-    No key is kept as it is, so none can be read from a dump of this table, and how
-    long a look-up takes shows nothing of the keys: digests are compared, with a secret
-    that each process draws for itself.
+    Keys are not stored in plain text, so that a memory dump does not reveal them. The
+    salt is random per process, so that the time of a lookup reveals nothing either.
     """
 
     _salt: bytes = attrs.Factory(lambda: secrets.token_bytes(SALT_BYTES))
@@ -61,6 +60,6 @@
         return self._teams.get(self._digest(key))
 
     def _digest(self, key: str) -> bytes:
-        text = key.encode("utf-8", "surrogateescape")
-        made = hashlib.blake2b(text, digest_size=DIGEST_BYTES, key=self._salt)
-        return made.digest()
+        data = key.encode("utf-8", "surrogateescape")
+        hasher = hashlib.blake2b(data, digest_size=DIGEST_BYTES, key=self._salt)
+        return hasher.digest()
--- a/ferrydeck/mesh/teams/policy_freshness.py
+++ b/ferrydeck/mesh/teams/policy_freshness.py
@@ -1,13 +1,12 @@
-"""How old the confirmation is that no newer policy than the one in force was accepted.
+"""The age of the confirmation that the policy in force is the newest one.
 
-A key that was taken away must run nothing some seconds later, also at a daemon that is
-cut off and can't know. So requests with keys are served only while the daemon holds a
-young confirmation: the store's answer that its policy is the newest. A confirmation
-counts from when its question was sent. Daemons pass confirmations on to each other as
-ages, in answers to questions whose sending time the asking daemon knows; no clocks are
-compared.
+A revoked key must stop working within some seconds, even at a daemon that is
+partitioned from the store. So requests with keys are served only while the daemon has a
+fresh confirmation: the store's answer that the policy is the newest. Its age counts
+from the time of the request. Daemons send each other the ages of confirmations in
+replies to pings, whose sending time the receiver knows, so no clocks are compared.
 
-Owns the time of the newest confirmation; relies on `registry` and on pongs for them.
+Owns the time of the newest confirmation; gets them from `registry` and from pongs.
 """
 
 from __future__ import annotations
@@ -15,37 +14,35 @@
 import attrs
 
 EXPIRY_MARGIN_S = 0.2
-"""How much sooner than agreed a confirmation is too old, seconds: a loop that is busy
-looks at the clock some hundredths late."""
+"""Safety margin of the expiry, seconds, for the delay of a busy event loop."""
 NEVER = -1e9
 
 
 @attrs.define(kw_only=True)
 class PolicyFreshness:
-    """What one daemon knows of the age of its policy."""
+    """The freshness of this daemon's policy."""
 
     ttl_s: float | None
-    """How long a key may run requests after it was taken away, seconds; `None` where
-    nothing was agreed."""
+    """How long a revoked key may still work, seconds; `None` for no limit."""
     confirmed_at: float = NEVER
-    """When nothing newer than the policy in force had been accepted."""
+    """When the policy in force was last known to be the newest."""
     _pending: tuple[int, float] = (0, NEVER)
-    """A version that is not in force here yet, and when nothing newer than it was."""
+    """A confirmed version that is not in force here yet, and when it was confirmed."""
 
-    def add_confirmation(self, held: int, version: int, at: float) -> None:
-        """Take a confirmation that at `at` no version above `version` was accepted.
+    def add_confirmation(self, current: int, version: int, at: float) -> None:
+        """Record that `version` was the newest at the time `at`.
 
-        It is of use at once where the version `held` in force is not older.
+        It applies at once if the version in force, `current`, is not older.
         """
-        if version <= held:
+        if version <= current:
             self.confirmed_at = max(self.confirmed_at, at)
         elif at > self._pending[1]:
             self._pending = (version, at)
 
     def policy_applied(self, version: int) -> None:
-        """Use a confirmation that came before its policy, which is in force now."""
-        confirmed, at = self._pending
-        if confirmed <= version:
+        """Use a confirmation that arrived before its policy, which is now in force."""
+        confirmed_version, at = self._pending
+        if confirmed_version <= version:
             self.confirmed_at = max(self.confirmed_at, at)
 
     def age_s(self, now: float) -> float:
@@ -53,5 +50,5 @@
         return now - self.confirmed_at
 
     def is_fresh(self, now: float) -> bool:
-        """Return whether keys can be relied on."""
+        """Return whether the keys in the policy may be relied on."""
         return self.ttl_s is None or self.age_s(now) < self.ttl_s - EXPIRY_MARGIN_S
--- a/ferrydeck/mesh/teams/quota.py
+++ b/ferrydeck/mesh/teams/quota.py
@@ -1,18 +1,18 @@
-"""How many of a team's requests may run, over all daemons together.
+"""Limits the rate of each team's requests over all daemons together.
 
-Each team has one daemon that adds up its usage (its coordinator): the linked daemon
-with the highest hash of team and address, so that none is elected and any may go. The
-others report to it ten times a second what their callers asked and what was admitted.
-It keeps a token bucket of the team's rate and burst. Nothing is rejected before the
-bucket runs low; then the coordinator sends all daemons a grant: the fraction of the
-team's requests to admit. What was admitted beyond it meanwhile is owed to the bucket
-and is made up for, so that a whole window stays within rate and burst.
+Each team has a coordinator: the reachable daemon with the highest hash of team and
+address (rendezvous hashing), so that no election is needed. The other daemons report
+requested and admitted requests to it ten times a second, and it keeps a token bucket
+with the team's rate and burst. While the bucket is full enough, all requests are
+admitted. Then the coordinator sends all daemons a grant, the fraction of the team's
+requests to admit. Requests admitted before it arrives may drive the bucket below zero,
+so that rate and burst hold over a whole window.
 
-Daemons that this one can't reach may admit requests as well: a coordinator grants only
-the part of the quota that the daemons in reach are of all that are known.
+Unreachable daemons may admit requests too, so a coordinator grants a share of the quota
+only: that of the reachable daemons among all known ones.
 
 Owns the usage and grants of this daemon (`QuotaEnforcer`) and the accounts of the teams
-that it coordinates (`QuotaCoordinator`); `coordination` carries both on the links.
+that it coordinates (`QuotaCoordinator`); `quota_exchange` sends and receives both.
 """
 
 from __future__ import annotations
@@ -27,56 +27,50 @@
 from ferrydeck.mesh.teams import keys
 
 GRANTED_RATE_RATIO = 1.06
-"""What is granted steadily, as a part of the rate. A tenth above rate and burst is
-agreed; the rest of it is for what comes in before a coordinator has sent a grant."""
+"""Refill rate relative to the team's rate; the agreed tolerance of a tenth must also
+cover requests admitted before a grant arrives."""
 STEADY_BURST_RATIO = 0.3
-"""Part of the burst that is granted steadily, over a window: a team that asks a tenth
-above its rate all the while is within rate and burst in each window, and had one
-request in twenty rejected without it."""
+"""Part of the burst that is spread over each window, so that a team steadily a little
+above its rate, but within rate and burst, is not limited."""
 BUCKET_BURST_RATIO = 0.8
-"""Part of the burst that the bucket holds, for peaks."""
+"""Capacity of the bucket relative to the burst, for peaks."""
 DEMAND_DECAY_S = 0.25
-"""Time over which the demand is measured, seconds: two to three reports of each
-daemon. Chosen, with the other times here, as random schedules kept to the quota with
-them together; not measured alone."""
+"""Time constant of the demand, seconds; two to three reports of each daemon."""
 BUCKET_DRAIN_S = 0.5
-"""Time within which what is in the bucket may be spent, seconds; less would cut short
-peaks that the burst is for, more would let a peak run on until the next grant."""
+"""Time in which the bucket may be emptied, seconds; a shorter one cuts peaks within the
+burst, a longer one lets them go on until the next grant."""
 REPORT_LAG_S = 0.15
-"""How much of what was admitted a coordinator has no report of yet, seconds: half a
-pause between reports, and the way of its own grant."""
-MIN_GRANT_CHANGE_RATIO = 0.1
-"""A grant that differs by less than this part from the last one sent is not sent."""
+"""Average age of usage when it is reported, seconds, plus the delay of the grant."""
+MIN_CHANGE_RATIO = 0.1
+"""Relative change of a fraction below which no new grant is sent."""
 MIN_GRANT_INTERVAL_S = 0.2
-"""The shortest time between two grants below one, seconds: each of them goes to all
-daemons."""
-GRANT_RESEND_INTERVAL_S = 1.0
-"""When a grant below one is sent again all the same, seconds."""
-MAX_FULL_GRANT_SENDS = 2
-"""How often it is sent that everything is granted again: the first message may reach
-daemons that do not take it yet, as they have just lost the coordinator before."""
-STARTUP_LIMIT_TIMEOUT_S = 1.0
-"""How long a daemon that has started keeps to its own part of a quota, seconds: all
-daemons may have started, and the coordinators know nothing yet."""
+"""Shortest interval between grants below one, which go to all daemons, seconds."""
+RESEND_INTERVAL_S = 1.0
+"""Interval after which an unchanged grant below one is sent again, seconds."""
+MAX_FULL_SENDS = 2
+"""Times that a full grant is sent; daemons whose coordinator has just changed may
+ignore the first one."""
+STARTUP_S = 1.0
+"""Time after the start in which a daemon limits teams by itself, seconds; after a
+restart of all daemons the coordinators have no usage yet."""
 STARTUP_RATE_RATIO = 2.0
-"""How many times an even part of a team's rate a daemon admits during that time:
-callers are not spread evenly."""
-GRANT_TIMEOUT_S = 4.0
-"""How long a grant counts that is not sent again, seconds: longer than a link may be
-silent before another daemon becomes the coordinator."""
+"""Limit in that time relative to an even split of the rate; callers are not spread
+evenly."""
+GRANT_TTL_S = 4.0
+"""Lifetime of a grant that is not sent again, seconds; longer than it takes to replace
+a silent coordinator."""
 MIN_RETRY_AFTER_S = 0.3
 MAX_RETRY_AFTER_S = 2.0
-"""Bounds of the time after which a caller beyond its team's quota may come back,
-seconds."""
+"""Limits of the retry time stated to callers beyond their team's quota, seconds."""
 
 
 @attrs.define(kw_only=True)
 class Usage:
-    """What the callers of a team asked at one daemon since its last report."""
+    """Requests of a team at one daemon since its last report."""
 
     requested: int = 0
     admitted: int = 0
-    """Requests admitted, less those that were not run after all."""
+    """Requests admitted, less those that were not run."""
 
 
 @attrs.define(kw_only=True)
@@ -86,24 +80,24 @@
     fraction: float
     retry_after_s: float
     expires_at: float
-    """When it ends, unless it is sent again."""
+    """When it expires, unless it is sent again."""
 
 
 @attrs.define(kw_only=True)
 class QuotaEnforcer:
-    """The side of the daemon whose callers ask: admits, counts and reports."""
+    """Admits the requests of this daemon's callers by grants, and counts usage."""
 
     rng: random.Random
     started_at: float = 0.0
     known_daemons: int = 1
-    """Daemons that are known, this one included."""
+    """Number of known daemons, including this one."""
     _usages: dict[str, Usage] = attrs.Factory(dict)
     _grants: dict[str, Grant] = attrs.Factory(dict)
-    _startup_admitted: dict[str, int] = attrs.Factory(dict)
-    """Requests of each team shortly after the start."""
+    _startup_counts: dict[str, int] = attrs.Factory(dict)
+    """Requests of each team in the first `STARTUP_S`."""
 
     def check(self, now: float, team: keys.Team) -> Grant | None:
-        """Admit a request of a team, or return the grant in force that rejects it."""
+        """Admit a request of a team, or return the grant that rejects it."""
         if not team.has_quota:
             return None
         usage = self._usages.setdefault(team.name, Usage())
@@ -114,84 +108,76 @@
             grant = None
         if grant is not None and self.rng.random() >= grant.fraction:
             return grant
-        if now < self.started_at + STARTUP_LIMIT_TIMEOUT_S and self._over_startup_limit(
-            now, team
-        ):
-            return Grant(
-                fraction=0.0, retry_after_s=STARTUP_LIMIT_TIMEOUT_S, expires_at=now
-            )
+        if now < self.started_at + STARTUP_S and self._exceeds_share(now, team):
+            return Grant(fraction=0.0, retry_after_s=STARTUP_S, expires_at=now)
         usage.admitted += 1
         return None
 
-    def _over_startup_limit(self, now: float, team: keys.Team) -> bool:
-        """Return whether as much was admitted as a daemon may that has just started."""
-        even_per_s = team.rate_per_s / self.known_daemons
-        may = 1.0 + STARTUP_RATE_RATIO * even_per_s * (now - self.started_at)
-        used = self._startup_admitted.get(team.name, 0)
-        self._startup_admitted[team.name] = used + 1
-        return used + 1 > may
+    def _exceeds_share(self, now: float, team: keys.Team) -> bool:
+        """Count a request, and return whether it exceeds the limit after the start."""
+        even_rate = team.rate_per_s / self.known_daemons
+        limit = 1.0 + STARTUP_RATE_RATIO * even_rate * (now - self.started_at)
+        count = self._startup_counts.get(team.name, 0)
+        self._startup_counts[team.name] = count + 1
+        return count + 1 > limit
 
     def refund(self, team: keys.Team) -> None:
-        """Return a request that was admitted and has not run: it uses nothing."""
+        """Subtract an admitted request that was not run."""
         if team.has_quota:
             self._usages.setdefault(team.name, Usage()).admitted -= 1
 
     def add_relayed(self, team: str, usage: Usage) -> None:
-        """Report another daemon's usage with this one's own."""
+        """Add another daemon's usage to this one's next report."""
         own = self._usages.setdefault(team, Usage())
         own.requested += usage.requested
         own.admitted += usage.admitted
 
     def grant(self, now: float, team: str) -> Grant | None:
-        """Return the grant in force for a team, `None` where all is admitted."""
+        """Return the valid grant of a team; `None` if all requests are admitted."""
         grant = self._grants.get(team)
         return None if grant is None or now >= grant.expires_at else grant
 
     def fraction(self, now: float, team: str) -> float:
-        """Return the fraction of a team's requests that is admitted."""
+        """Return the fraction of a team's requests to admit."""
         grant = self.grant(now, team)
         return 1.0 if grant is None else grant.fraction
 
     def take_usages(self) -> dict[str, Usage]:
-        """Return what was used since this was last called."""
+        """Return the usage since the last call, and reset it."""
         usages, self._usages = self._usages, {}
         return usages
 
     def set_grant(
         self, now: float, team: str, fraction: float, retry_after_s: float
     ) -> None:
-        """Put in force what a coordinator grants to a team."""
+        """Apply a coordinator's grant to a team."""
         if fraction >= 1.0:
             self._grants.pop(team, None)
             return
         self._grants[team] = Grant(
-            fraction=fraction,
-            retry_after_s=retry_after_s,
-            expires_at=now + GRANT_TIMEOUT_S,
+            fraction=fraction, retry_after_s=retry_after_s, expires_at=now + GRANT_TTL_S
         )
 
 
 @attrs.define(kw_only=True)
 class Account:
-    """A team's bucket and demand, as its coordinator knows them."""
+    """A team's token bucket and demand, kept by its coordinator."""
 
     tokens: float
     updated_at: float
-    """When bucket and demand were last brought up to date."""
+    """When bucket and demand were last updated."""
     demand: float = 0.0
-    """Requests asked, fading over `DEMAND_S`."""
-    sent_fraction: float = 1.0
-    """The fraction that was sent last."""
+    """Requests, decaying with the time constant `DEMAND_DECAY_S`."""
+    fraction: float = 1.0
+    """The fraction in the last grant that was sent."""
     sent_at: float = 0.0
-    full_sends_left: int = 0
-    """How often it is still to be sent that everything is granted again."""
+    full_sends: int = 0
+    """Full grants that are still to be sent."""
 
     def mark_sent(self, now: float, fraction: float) -> None:
-        """Record that a fraction is sent."""
-        self.full_sends_left = (
-            MAX_FULL_GRANT_SENDS if fraction < 1.0 else self.full_sends_left - 1
-        )
-        self.sent_fraction, self.sent_at = fraction, now
+        """Record that a grant of this fraction is sent."""
+        self.full_sends = MAX_FULL_SENDS if fraction < 1.0 else self.full_sends - 1
+        self.fraction, self.sent_at = fraction, now
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -205,114 +191,105 @@
 
 @attrs.define(kw_only=True)
 class QuotaCoordinator:
-    """The side of the daemon that adds up the usage of some teams."""
+    """Adds up the usage of teams that this daemon coordinates, and decides grants."""
 
     window_s: float
-    """The window in which rate and burst are counted, seconds."""
+    """The window over which rate and burst are counted, seconds."""
     accounts: dict[str, Account] = attrs.Factory(dict)
-    """The teams that it adds up, by name."""
+    """The accounts of coordinated teams, by name."""
 
     def add_usage(
-        self, now: float, team: keys.Team, reach: float, usage: Usage, *, unused: bool
+        self, now: float, team: keys.Team, share: float, usage: Usage, *, idle: bool
     ) -> None:
-        """Add what was used at one daemon; `reach` is the part of all daemons.
+        """Add the usage at one daemon.
 
-        `unused` says that a team without any report used nothing of late.
+        `share` is the ratio of reachable to known daemons; `idle` states that a team
+        without an account has had no usage for a whole window.
         """
         if team.name not in self.accounts:
-            self._open_account(now, team, reach, unused=unused)
-        account = self._update_account(now, team, reach)
+            self._open(now, team, share, idle=idle)
+        account = self._update_account(now, team, share)
         account.tokens -= usage.admitted
         account.demand += usage.requested
 
     def due_grants(
-        self, now: float, teams: dict[str, keys.Team], reach: float
+        self, now: float, teams: dict[str, keys.Team], share: float
     ) -> list[GrantDecision]:
         """Return the grants that are to be sent to all daemons now."""
-        found = []
+        decisions = []
         for name in list(self.accounts):
             team = teams.get(name)
             if team is None or not team.has_quota:
                 del self.accounts[name]
                 continue
-            account = self._update_account(now, team, reach)
-            fraction = self._fraction(account, team, reach)
+            account = self._update_account(now, team, share)
+            fraction = self._fraction(account, team, share)
             if self._is_due(now, account, fraction):
                 account.mark_sent(now, fraction)
-                retry_s = self._retry_after_s(account, team, reach)
-                found.append(
+                retry_s = self._retry_after_s(account, team, share)
+                decisions.append(
                     GrantDecision(team=name, fraction=fraction, retry_after_s=retry_s)
                 )
-        return found
+        return decisions
 
-    def _open_account(
-        self, now: float, team: keys.Team, reach: float, *, unused: bool
-    ) -> None:
-        """Begin to add up a team's usage.
+    def _open(self, now: float, team: keys.Team, share: float, *, idle: bool) -> None:
+        """Open a team's account, with an empty bucket unless the team is idle.
 
-        What was used before another coordinator took over is not known: half a bucket
-        then led to 1.1 of the quota in a busy second.
+        Usage reported to an earlier coordinator is unknown, and may be up to the quota.
         """
-        tokens = _bucket_capacity(team, reach) if unused else 0.0
+        tokens = _capacity(team, share) if idle else 0.0
         self.accounts[team.name] = Account(tokens=tokens, updated_at=now)
 
-    def _update_account(self, now: float, team: keys.Team, reach: float) -> Account:
-        """Return a team's account with what time has added and taken away."""
-        full = _bucket_capacity(team, reach)
+    def _update_account(self, now: float, team: keys.Team, share: float) -> Account:
+        """Refill a team's bucket, decay its demand, and return its account."""
+        capacity = _capacity(team, share)
         account = self.accounts[team.name]
-        passed_s = now - account.updated_at
-        rate = self._rate(team) * reach
-        account.tokens = min(full, account.tokens + rate * passed_s)
-        account.demand *= math.exp(-passed_s / DEMAND_DECAY_S)
+        elapsed_s = now - account.updated_at
+        rate = self._rate(team) * share
+        account.tokens = min(capacity, account.tokens + rate * elapsed_s)
+        account.demand *= math.exp(-elapsed_s / DEMAND_DECAY_S)
         account.updated_at = now
         return account
 
-    def _fraction(self, account: Account, team: keys.Team, reach: float) -> float:
-        """Return the fraction of the demand that empties the bucket in `SPEND_S`."""
+    def _fraction(self, account: Account, team: keys.Team, share: float) -> float:
+        """Return the fraction of the demand that empties the bucket in time."""
         demand_per_s = account.demand / DEMAND_DECAY_S
-        unreported = demand_per_s * account.sent_fraction * REPORT_LAG_S
+        unreported = demand_per_s * account.fraction * REPORT_LAG_S
         tokens = account.tokens - (unreported if account.tokens > 0 else 0.0)
-        rate = self._rate(team) * reach + tokens / BUCKET_DRAIN_S
+        rate = self._rate(team) * share + tokens / BUCKET_DRAIN_S
         if rate <= 0:
             return 0.0
         return 1.0 if rate >= demand_per_s else rate / demand_per_s
 
     def _rate(self, team: keys.Team) -> float:
-        """Return what is granted steadily, requests a second."""
+        """Return the refill rate of the bucket, requests per second."""
         steady = STEADY_BURST_RATIO * team.burst / self.window_s
         return GRANTED_RATE_RATIO * team.rate_per_s + steady
 
     def _is_due(self, now: float, account: Account, fraction: float) -> bool:
-        """Return whether a fraction is to be sent to all daemons."""
+        """Return whether a grant of this fraction is to be sent to all daemons."""
         if fraction >= 1.0:
-            return account.full_sends_left > 0 and (
-                account.sent_fraction < 1.0
-                or now - account.sent_at >= GRANT_RESEND_INTERVAL_S
+            return account.full_sends > 0 and (
+                account.fraction < 1.0 or now - account.sent_at >= RESEND_INTERVAL_S
             )
         if now - account.sent_at < MIN_GRANT_INTERVAL_S:
             return False
-        if now - account.sent_at >= GRANT_RESEND_INTERVAL_S:
+        if now - account.sent_at >= RESEND_INTERVAL_S:
             return True
-        return (
-            abs(fraction - account.sent_fraction)
-            > MIN_GRANT_CHANGE_RATIO * account.sent_fraction
-        )
+        return abs(fraction - account.fraction) > MIN_CHANGE_RATIO * account.fraction
 
-    def _retry_after_s(self, account: Account, team: keys.Team, reach: float) -> float:
-        """Return the time until what is owed is made up for, seconds."""
-        rate = team.rate_per_s * reach
-        owed_s = max(0.0, 1.0 - account.tokens) / max(rate, 1e-6)
-        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, owed_s))
+    def _retry_after_s(self, account: Account, team: keys.Team, share: float) -> float:
+        """Return the time until the bucket has a token again, seconds."""
+        rate = team.rate_per_s * share
+        wait_s = max(0.0, 1.0 - account.tokens) / max(rate, 1e-6)
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
 
 def choose_coordinator(team: str, addresses: Iterable[str]) -> str:
-    """Return which of some daemons adds up a team's usage."""
+    """Return the address of the daemon that coordinates a team."""
     return max(addresses, key=lambda one: (zlib.crc32(f"{team}@{one}".encode()), one))
 
 
-def _bucket_capacity(team: keys.Team, reach: float) -> float:
-    """Return what the bucket holds at the most.
-
-    A daemon alone must be able to admit one request.
-    """
-    return max(1.0, BUCKET_BURST_RATIO * team.burst * reach)
+def _capacity(team: keys.Team, share: float) -> float:
+    """Return the capacity of the bucket, at least one request."""
+    return max(1.0, BUCKET_BURST_RATIO * team.burst * share)
--- a/ferrydeck/mesh/teams/quota_exchange.py
+++ b/ferrydeck/mesh/teams/quota_exchange.py
@@ -1,7 +1,7 @@
-"""Which daemon coordinates which team, and what is sent to whom on the links.
+"""Exchanges usage and grants of teams with other daemons.
 
-Owns the view of the daemons in reach and the coordinator of each team that follows from
-it; relies on `quota` for what is counted and granted, and on the links of `peer_table`.
+Owns the view of the reachable daemons, which determines the coordinator of each team;
+relies on `quota` for counting and granting, and on the links of `peer_table`.
 """
 
 from __future__ import annotations
@@ -13,41 +13,39 @@
 from ferrydeck.mesh.teams import quota, quota_reports
 
 REPORT_INTERVAL_S = 0.1
-"""How often usages and grants are sent, seconds. A daemon's fifteen requests a second
-are mostly of as many teams, so a longer pause saves few messages (reckoned), and a team
-at seven times its usual is limited later."""
-COORDINATOR_SILENT_TIMEOUT_S = 0.5
-"""A coordinator that sent nothing for this long has to answer the next usages, seconds:
-it may be cut off, and another one has to take its place."""
-VIEW_SETTLE_TIMEOUT_S = 0.5
-"""How long after the daemons in reach have changed a grant is not raised, seconds: a
-new coordinator has reports of a part of the demand only, and would admit everything."""
-GRANT_RELAY_TIMEOUT_S = 1.0
-"""How long a daemon that passes usages on passes the grants on as well, seconds: those
-who report to it are not linked with the coordinator yet."""
+"""Interval between sending usage and grants, seconds; a longer one saves few messages
+and limits a team later."""
+COORDINATOR_TIMEOUT_S = 0.5
+"""Silence after which a coordinator that does not reply becomes suspect, seconds."""
+VIEW_SETTLE_S = 0.5
+"""Time after a change of the reachable daemons in which grants are not raised, seconds;
+a new coordinator knows a part of the demand only."""
+GRANT_RELAY_S = 1.0
+"""Time in which a daemon that relayed usage relays grants too, seconds; the reporting
+daemons may not be linked with the coordinator yet."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class QuotaReportTimer:
-    """Time to send usages and grants."""
+    """Fires when usage and grants are to be sent."""
 
 
 @attrs.define(kw_only=True)
 class QuotaExchange:
-    """Carries usages to coordinators and their grants back."""
+    """Sends usage to coordinators, and grants to all daemons."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
     quota_enforcer: quota.QuotaEnforcer
     coordinator: quota.QuotaCoordinator = attrs.field(init=False)
     _reachable: dict[str, peers.Peer] = attrs.Factory(dict)
-    """The daemons that are linked and not suspect, by address."""
+    """Linked daemons that are not suspect, by address."""
     _coordinators: dict[str, str] = attrs.Factory(dict)
-    """The coordinator of each team in use here, among the daemons in reach."""
+    """Cached addresses of coordinators among the reachable daemons, by team."""
     _relayed_at: dict[str, float] = attrs.Factory(dict)
-    """When another daemon's usage of a team was last passed on."""
+    """When another daemon's usage was last relayed, by team."""
     _view_changed_at: float = -1e9
-    """When the daemons in reach last changed."""
+    """When the reachable daemons last changed."""
     _running: bool = False
 
     def __attrs_post_init__(self) -> None:
@@ -55,7 +53,7 @@
         self.coordinator = quota.QuotaCoordinator(window_s=window_s)
 
     def policy_applied(self, now: float) -> None:
-        """Begin to report, once a policy has teams with quotas."""
+        """Start reporting once a policy has teams with quotas."""
         if self._running or not self._has_quotas():
             return
         self._running = True
@@ -63,7 +61,7 @@
         self.ctx.at(now + REPORT_INTERVAL_S, QuotaReportTimer())
 
     def send_reports(self, now: float) -> None:
-        """Send what was used here to coordinators, and all daemons the grants."""
+        """Send usage to the coordinators, and own grants to all daemons."""
         self._running = self._has_quotas()
         if not self._running:
             return
@@ -75,14 +73,13 @@
     def usages_received(
         self, now: float, link: int, message: messages.TeamUsages
     ) -> None:
-        """Add up what another daemon used, or have it added up where that belongs.
+        """Count the usage at another daemon, or relay it to the coordinator.
 
-        Where links break and come back the daemons' views differ for a while. A usage
-        is passed on to a higher hash only, so it comes to rest. Whoever reports the
-        usage of a team with a grant below one is sent it on the same link: there may be
-        no other yet.
+        While links change, daemons may disagree on the coordinator. Usage is relayed to
+        a higher hash only, so there are no loops. Grants below one are returned on the
+        same link, as there may be no other yet.
         """
-        limited = []
+        grants = []
         for one in message.usages:
             usage = quota.Usage(requested=one.asked, admitted=one.run)
             if self._is_coordinator(one.team):
@@ -92,52 +89,54 @@
                 self._relayed_at[one.team] = now
             grant = self.quota_enforcer.grant(now, one.team)
             if grant is not None:
-                limited.append(
+                grants.append(
                     _grant_message(one.team, grant.fraction, grant.retry_after_s)
                 )
-        if limited:
-            grants = messages.TeamGrants(grants=limited)
-            self.ctx.emit(effects.SendBack(link=link, message=grants))
+        if grants:
+            reply = messages.TeamGrants(grants=grants)
+            self.ctx.emit(effects.SendBack(link=link, message=reply))
 
     def grants_received(
         self, now: float, address: str, message: messages.TeamGrants
     ) -> None:
-        """Take the grants that the daemon at an address sends.
+        """Apply the grants sent by the daemon at an address.
 
-        One that is not the coordinator by this daemon's view, or has only just become
-        it, may lower a grant, but not raise it.
+        A daemon that is not the coordinator in this daemon's view, or has only just
+        become it, may lower a grant, but not raise it.
         """
-        settled = now - self._view_changed_at >= VIEW_SETTLE_TIMEOUT_S
-        passed_on = []
+        settled = now - self._view_changed_at >= VIEW_SETTLE_S
+        relayed = []
         for one in message.grants:
-            trusted = settled and self._coordinator(one.team) == address
+            trusted = settled and self._coordinator_of(one.team) == address
             fraction = self.quota_enforcer.fraction(now, one.team)
             if not trusted and one.fraction >= fraction:
                 continue
             self.quota_enforcer.set_grant(
                 now, one.team, one.fraction, one.retry_after_s
             )
-            relays = now - self._relayed_at.get(one.team, -1e9) < GRANT_RELAY_TIMEOUT_S
-            if relays and one.fraction != fraction:
-                passed_on.append(one)
-        if passed_on:
-            self._broadcast(messages.TeamGrants(grants=passed_on), but=address)
+            relay = now - self._relayed_at.get(one.team, -1e9) < GRANT_RELAY_S
+            if relay and one.fraction != fraction:
+                relayed.append(one)
+        if relayed:
+            self._broadcast(messages.TeamGrants(grants=relayed), exclude=address)
 
     def _has_quotas(self) -> bool:
-        held = self.ctx.policy
-        return held is not None and any(one.has_quota for one in held.teams.values())
+        current = self.ctx.policy
+        return current is not None and any(
+            one.has_quota for one in current.teams.values()
+        )
 
     def _update_reachable(self, now: float) -> None:
-        found = {
+        reachable = {
             address: peer
             for address, peer in self.peers.by_address.items()
             if peer.link is peers.LinkState.UP
             and not failure_detector.is_suspect(now, peer)
         }
-        if found.keys() != self._reachable.keys():
+        if reachable.keys() != self._reachable.keys():
             self._coordinators.clear()
             self._view_changed_at = now
-        self._reachable = found
+        self._reachable = reachable
         self.quota_enforcer.known_daemons = 1 + len(self.peers.by_address)
 
     def _send_usages(self, now: float) -> None:
@@ -149,22 +148,22 @@
             report = quota_reports.TeamUsage(
                 team=team, asked=usage.requested, run=usage.admitted
             )
-            by_address.setdefault(self._coordinator(team), []).append(report)
+            by_address.setdefault(self._coordinator_of(team), []).append(report)
         for address, usages in by_address.items():
             message = messages.TeamUsages(usages=usages)
             peer = self._reachable[address]
-            if now - peer.last_received_at > COORDINATOR_SILENT_TIMEOUT_S:
+            if now - peer.last_received_at > COORDINATOR_TIMEOUT_S:
                 self.peers.send(now, peer, message)
             else:
                 self.ctx.send(address, message)
 
     def _send_grants(self, now: float) -> None:
-        own = {
+        coordinated = {
             name: team
             for name, team in self.ctx.policy.teams.items()
             if name in self.coordinator.accounts and self._is_coordinator(name)
         }
-        due = self.coordinator.due_grants(now, own, self._reachable_ratio())
+        due = self.coordinator.due_grants(now, coordinated, self._share())
         if not due:
             return
         grants = []
@@ -178,28 +177,26 @@
             )
         message = messages.TeamGrants(grants=grants)
         self.grants_received(now, self.ctx.identity.address, message)
-        self._broadcast(message, but="")
+        self._broadcast(message, exclude="")
 
-    def _broadcast(self, message: messages.TeamGrants, *, but: str) -> None:
+    def _broadcast(self, message: messages.TeamGrants, *, exclude: str) -> None:
         for address in self._reachable:
-            if address != but:
+            if address != exclude:
                 self.ctx.send(address, message)
 
     def _add_usage(self, now: float, name: str, usage: quota.Usage) -> None:
-        held = self.ctx.policy
-        team = held.teams.get(name) if held is not None else None
+        current = self.ctx.policy
+        team = current.teams.get(name) if current is not None else None
         if team is None or not team.has_quota:
             return
-        # No report for a whole window by the same daemons means that nothing was used.
-        unused = now - self._view_changed_at > self.coordinator.window_s
-        self.coordinator.add_usage(
-            now, team, self._reachable_ratio(), usage, unused=unused
-        )
+        # A whole window without reports from the same daemons means no usage.
+        idle = now - self._view_changed_at > self.coordinator.window_s
+        self.coordinator.add_usage(now, team, self._share(), usage, idle=idle)
 
     def _is_coordinator(self, team: str) -> bool:
-        return self._coordinator(team) == self.ctx.identity.address
+        return self._coordinator_of(team) == self.ctx.identity.address
 
-    def _coordinator(self, team: str) -> str:
+    def _coordinator_of(self, team: str) -> str:
         found = self._coordinators.get(team)
         if found is None:
             addresses = [self.ctx.identity.address, *self._reachable]
@@ -207,8 +204,8 @@
             self._coordinators[team] = found
         return found
 
-    def _reachable_ratio(self) -> float:
-        """Return which part of all daemons those in reach are, this one included."""
+    def _share(self) -> float:
+        """Return the ratio of reachable to known daemons, including this one."""
         known = max(len(self.peers.by_address), len(self._reachable))
         return (1 + len(self._reachable)) / (1 + known)
 
--- a/ferrydeck/mesh/teams/quota_reports.py
+++ b/ferrydeck/mesh/teams/quota_reports.py
@@ -1,7 +1,7 @@
-"""What daemons send each other of one team: its usage and its grant.
+"""A team's usage and grant, as sent between daemons.
 
-Parts of messages (`messages.TeamUsages`, `messages.TeamGrants`), as arrays: the order
-of fields and their types are the protocol.
+Parts of messages (`messages.TeamUsages`, `messages.TeamGrants`), encoded as arrays: the
+order and types of the fields are the protocol.
 """
 
 from __future__ import annotations
@@ -10,19 +10,19 @@
 
 
 class TeamUsage(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What the callers of a team asked at the sender since its last report."""
+    """Requests of a team at the sender since its last report."""
 
     team: str
     asked: int
     run: int
-    """Requests admitted, less those that were not run; may be below zero."""
+    """Requests admitted, less those that were not run; may be negative."""
 
 
 class TeamGrant(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The fraction of a team's requests that each daemon is to admit."""
+    """The fraction of a team's requests that each daemon admits."""
 
     team: str
     fraction: float
     """0 to 1."""
     retry_after_s: float
-    """When a rejected caller may come back, seconds."""
+    """When a rejected caller may retry, seconds."""
