--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -155,7 +155,7 @@
         if self.rollout.changed:
             self.rollout.changed = False
             self.serving.target.apply_bundle(now)
-            self.owner.bundle_changed(now)
+            self.owner.apply_bundle(now)
             self.forwarder.retrying.budgets.clear()
         while self.ctx.to_self:
             self._on_message(now, self._own_envelope(now), self.ctx.to_self.popleft())
@@ -250,13 +250,13 @@
         match message:
             case messages.Hello(member=member):
                 self.members.hello(now, message)
-                self.owner.member_changed(now, member)
+                self.owner.check_claims(now, member)
             case messages.Digest():
                 self.members.digest(now, envelope, message)
             case messages.Members(members=members):
                 self.members.take_all(now, message)
                 for known in members:
-                    self.owner.member_changed(now, known.member)
+                    self.owner.check_claims(now, known.member)
             case messages.ListedLeaving(box=box, incarnation=incarnation):
                 self.members.mark_listed_leaving(box, incarnation)
             case messages.BundleAsk():
@@ -264,16 +264,16 @@
             case messages.BundleGive(raw=raw):
                 self.rollout.offered(now, raw, envelope.box)
             case messages.ShardHand():
-                self.owner.hand(now, envelope.box, message)
+                self.owner.handle_table_part(now, envelope.box, message)
             case messages.ShardTaken():
-                self.owner.taken(now, envelope.box, message)
+                self.owner.handle_table_confirmed(now, envelope.box, message)
             case messages.ShardYours():
-                self.owner.yours(now, message)
+                self.owner.handle_ownership_notice(now, message)
 
     def _on_platform(self, now: float, request: Any, result: Any) -> None:
         if self.rollout.answered(now, request, result):
             return
-        if not self.owner.answered(now, request, result):
+        if not self.owner.handle_result(now, request, result):
             self.ctx.count("platform_faults", "unasked")
 
     def _on_timer(self, now: float, timer: Any) -> None:
@@ -294,8 +294,8 @@
                 self.members.tick(now)
             case shards.LeaseTimer():
                 self.owner.renew(now)
-            case shards.PlanTimer():
-                self.owner.plan(now)
+            case shards.RebalanceTimer():
+                self.owner.rebalance(now)
             case rollout.WatchTimer():
                 self.rollout.watch(now)
             case rollout.FirstTimer():
@@ -319,7 +319,7 @@
         self.ctx.at(now + LEAVE_CHECK_S, LeaveTimer())
 
     def _check_left(self, now: float) -> None:
-        done = self.forwarder.idle and self.serving.idle and self.owner.may_leave(now)
+        done = self.forwarder.idle and self.serving.idle and self.owner.can_leave(now)
         if not done:
             self.ctx.at(now + LEAVE_CHECK_S, LeaveTimer())
             return
--- a/ferrydeck/signed/core/leases.py
+++ b/ferrydeck/signed/core/leases.py
@@ -14,17 +14,17 @@
 
 from ferrydeck.signed.core import context, effects, platform
 
-RENEWALS = 3
+RENEWALS_PER_LEASE = 3
 """Renewals sent in the time of one lease."""
-EARLY_S = 0.05
-FENCE_SHARE = 0.5
+RENEWAL_SLACK_S = 0.05
+MIN_HELD_RATIO = 0.5
 """Share of a lease for which a box must have held its own before it fences others."""
-CLOCK_MARGIN = 0.05
+CLOCK_DRIFT_RATIO = 0.05
 """Share of the lease given up for clocks that run at different rates."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Alive:
+class LeaseRecord:
     """The value of the lease key."""
 
     box: str
@@ -40,7 +40,7 @@
         return holder_name(self.box, self.incarnation, self.term)
 
     @property
-    def age(self) -> tuple[int, int, bool]:
+    def order(self) -> tuple[int, int, bool]:
         """Order of the values that one key takes over time."""
         return (self.incarnation, self.term, self.fence)
 
@@ -50,23 +50,23 @@
     return f"{box}/{incarnation}/{term}"
 
 
-def parse_holder(holder: str) -> Alive:
+def parse_holder(holder: str) -> LeaseRecord:
     """Return the box, incarnation and term that a holder's name holds."""
     box, incarnation, term = holder.rsplit("/", 2)
-    return Alive(box=box, incarnation=int(incarnation), term=int(term))
+    return LeaseRecord(box=box, incarnation=int(incarnation), term=int(term))
 
 
-def decode(value: str) -> Alive | None:
+def decode(value: str) -> LeaseRecord | None:
     """Return the value of a lease key, or `None` where it is none of ours."""
     try:
-        return msgspec.json.decode(value, type=Alive)
+        return msgspec.json.decode(value, type=LeaseRecord)
     except msgspec.DecodeError:
         return None
 
 
-def encode(alive: Alive) -> str:
+def encode(record: LeaseRecord) -> str:
     """Return the text that is stored for a lease key."""
-    return msgspec.json.encode(alive).decode()
+    return msgspec.json.encode(record).decode()
 
 
 @attrs.define(kw_only=True)
@@ -75,16 +75,16 @@
 
     ctx: context.Context
     term: int = 1
-    until: float = float("-inf")
+    valid_until: float = float("-inf")
     """Monotonic time up to which new keys may be taken."""
     superseded: bool = False
     """Whether a later incarnation of this box holds the key."""
-    _version: int | None = None
-    _beat: int = 0
-    _sent: float = 0.0
+    _key_version: int | None = None
+    _last_beat: int = 0
+    _renewal_sent_at: float = 0.0
     _held_since: float = 0.0
     _lease_s: float = 0.0
-    _asked: bool = False
+    _request_pending: bool = False
 
     @property
     def key(self) -> str:
@@ -100,65 +100,69 @@
 
     def valid(self, now: float) -> bool:
         """Return whether the lease holds now."""
-        return now < self.until
+        return now < self.valid_until
 
     def renew_if_due(self, now: float, lease_s: float) -> None:
         """Renew when a share of the lease has passed, or it was not confirmed."""
-        confirmed = self.valid(now) and self._version is not None
-        if not confirmed or now - self._sent >= lease_s / RENEWALS - EARLY_S:
+        confirmed = self.valid(now) and self._key_version is not None
+        if (
+            not confirmed
+            or now - self._renewal_sent_at
+            >= lease_s / RENEWALS_PER_LEASE - RENEWAL_SLACK_S
+        ):
             self.renew(now, lease_s)
 
     def renew(self, now: float, lease_s: float) -> None:
         """Send a renewal, or first read the key where its version is not known."""
-        if self.superseded or self._asked:
+        if self.superseded or self._request_pending:
             return
-        self._asked = True
+        self._request_pending = True
         self._lease_s = lease_s
-        if self._version is None:
-            self._ask(platform.Read(key=self.key))
+        if self._key_version is None:
+            self._emit_request(platform.Read(key=self.key))
             return
         self._write(now, lease_s)
 
-    def answered(
+    def handle_result(
         self, now: float, request: platform.Request, result: platform.Result
     ) -> bool:
         """Take the answer to a request about the key; return whether a term ended."""
-        self._asked = False
+        self._request_pending = False
         match result:
             case platform.Written(version=version):
                 self._confirm(version)
             case platform.Conflict() | platform.NoAnswer():
                 # The next renewal reads the key first. To read at once would
                 # flood a platform that serves old values.
-                self._version = None
+                self._key_version = None
             case platform.Absent():
-                self._version = 0
-                self._write_again(now)
+                self._key_version = 0
+                self._rewrite(now)
             case platform.Found(entry=entry):
-                return self._found(now, entry)
+                return self._check_stored(now, entry)
         return False
 
-    def _found(self, now: float, entry: platform.Entry) -> bool:
+    def _check_stored(self, now: float, entry: platform.Entry) -> bool:
         """Compare what stands in the key with what this box wrote."""
-        alive = decode(entry.value)
+        stored = decode(entry.value)
         mine = self.ctx.identity.incarnation
-        if alive is not None and alive.incarnation > mine:
+        if stored is not None and stored.incarnation > mine:
             self.superseded = True
-            self.until = float("-inf")
+            self.valid_until = float("-inf")
             self.ctx.audit("lease", "a later incarnation of this box holds the lease")
             return True
         ended = False
-        if alive is not None and alive.holder == self.holder and alive.fence:
+        if stored is not None and stored.holder == self.holder and stored.fence:
             self.term += 1
-            self.until = float("-inf")
+            self.valid_until = float("-inf")
             self.ctx.audit("lease", "fenced by another box after the lease lapsed")
             ended = True
-        self._version = entry.version
-        own = alive is not None and alive.holder == self.holder and not alive.fence
-        if own and self._beat and alive.beat == self._beat:
+        self._key_version = entry.version
+        own = stored is not None and stored.holder == self.holder and not stored.fence
+        if own and self._last_beat and stored.beat == self._last_beat:
             self._confirm(entry.version)
             return ended
-        self._write_again(now)
+        self._rewrite(now)
         return ended
 
     def may_fence(self, now: float) -> bool:
@@ -167,37 +171,41 @@
         After an outage of the platform every lease has lapsed, and the holders
         are given the time to come back before anyone takes their shards.
         """
-        return self.valid(now) and now - self._held_since >= self._lease_s * FENCE_SHARE
+        return (
+            self.valid(now) and now - self._held_since >= self._lease_s * MIN_HELD_RATIO
+        )
 
     def _confirm(self, version: int) -> None:
-        self._version = version
-        if self._sent >= self.until:
-            self._held_since = self._sent
-        self.until = self._sent + self._lease_s * (1 - CLOCK_MARGIN)
+        self._key_version = version
+        if self._renewal_sent_at >= self.valid_until:
+            self._held_since = self._renewal_sent_at
+        self.valid_until = self._renewal_sent_at + self._lease_s * (
+            1 - CLOCK_DRIFT_RATIO
+        )
 
-    def _write_again(self, now: float) -> None:
-        self._asked = True
+    def _rewrite(self, now: float) -> None:
+        self._request_pending = True
         self._write(now, self._lease_s)
 
     def _write(self, now: float, lease_s: float) -> None:
-        self._beat += 1
-        self._sent = now
+        self._last_beat += 1
+        self._renewal_sent_at = now
         self._lease_s = lease_s
         identity = self.ctx.identity
-        alive = Alive(
+        record = LeaseRecord(
             box=identity.box,
             incarnation=identity.incarnation,
             term=self.term,
-            beat=self._beat,
+            beat=self._last_beat,
         )
-        self._ask(
+        self._emit_request(
             platform.Write(
                 key=self.key,
-                value=encode(alive),
-                expected_version=self._version or 0,
+                value=encode(record),
+                expected_version=self._key_version or 0,
                 ttl_s=lease_s,
             )
         )
 
-    def _ask(self, request: platform.Request) -> None:
+    def _emit_request(self, request: platform.Request) -> None:
         self.ctx.emit(effects.AskPlatform(request=request))
--- a/ferrydeck/signed/core/once.py
+++ b/ferrydeck/signed/core/once.py
@@ -34,7 +34,7 @@
         if reason is messages.Reason.NO_TARGET:
             self.replies.reject(now, job, reason)
             return False
-        claim = self.owner.claim(now, keys.shard_of(job.forward.key))
+        claim = self.owner.key_authority(now, keys.shard_of(job.forward.key))
         if isinstance(claim, ownership.NotOwner):
             self.replies.reject(now, job, claim.reason, owner=claim.owner)
             return False
@@ -42,7 +42,7 @@
         if entry is not None and entry.state is not keys.KeyState.REFUSED:
             self._answer_known_key(now, job, entry)
             return False
-        if isinstance(claim, ownership.KnownOnly):
+        if isinstance(claim, ownership.KnownKeysOnly):
             self._answer_unknown_key(now, job, claim)
             return False
         if entry is not None and job.accepted_at - MAX_TRANSIT_S <= entry.refused_at:
@@ -117,7 +117,7 @@
         self.replies.send(job, self._stored_answer(now, job, entry))
 
     def _answer_unknown_key(
-        self, now: float, job: jobs.Job, claim: ownership.KnownOnly
+        self, now: float, job: jobs.Job, claim: ownership.KnownKeysOnly
     ) -> None:
         """Answer for a key that this owner can't judge."""
         if claim.reason is messages.Reason.MOVING:
--- a/ferrydeck/signed/core/ownership.py
+++ b/ferrydeck/signed/core/ownership.py
@@ -10,7 +10,7 @@
 from ferrydeck.signed.wire import messages
 
 
-class Move(enum.Enum):
+class MoveState(enum.Enum):
     """How far the handing over of a shard has come."""
 
     NONE = "none"
@@ -20,32 +20,34 @@
 
 
 @attrs.define(kw_only=True)
-class Owned:
+class OwnedShard:
     """A shard that this box owns."""
 
     epoch: int
     quarantine_until: float
-    move: Move = Move.NONE
-    moving_to: str = ""
-    moved_at: float = 0.0
-    sending: int = 0
-    successor: str = ""
+    move: MoveState = MoveState.NONE
+    move_to: str = ""
+    table_sent_at: float = 0.0
+    transfer_id: int = 0
+    successor_holder: str = ""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class MayTake:
+class AcceptsNewKeys:
     """This box owns the shard and may take a key that it does not know."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class KnownOnly:
+class KnownKeysOnly:
     """This box owns the shard but may answer only for keys that it knows."""
 
     reason: messages.Reason
     retry_after_s: float
 
 
-MOVING = KnownOnly(reason=messages.Reason.MOVING, retry_after_s=retry_after.MOVING_S)
+MOVING = KnownKeysOnly(
+    reason=messages.Reason.MOVING, retry_after_s=retry_after.MOVING_S
+)
 """The shard is on its way to or from another box."""
 
 
--- a/ferrydeck/signed/metrics.py
+++ b/ferrydeck/signed/metrics.py
@@ -86,7 +86,7 @@
             "bundle_version": core.rollout.version,
             "shards_owned": len(core.owner.owned),
             "keys_remembered": core.serving.table.count,
-            "lease_left_seconds": max(0.0, core.owner.lease.until - now),
+            "lease_left_seconds": max(0.0, core.owner.lease.valid_until - now),
             "leaving": int(core.ctx.leaving),
             "control_bytes_in": control.bytes_in,
             "control_bytes_out": control.bytes_out,
--- a/ferrydeck/signed/net/admin.py
+++ b/ferrydeck/signed/net/admin.py
@@ -68,7 +68,7 @@
         jobs=len(core.serving.jobs),
         shards=tuple(sorted(owned)),
         quarantined=sum(now < one.quarantine_until for one in owned.values()),
-        lease_left_s=max(0.0, core.owner.lease.until - now),
+        lease_left_s=max(0.0, core.owner.lease.valid_until - now),
         peers=tuple(peer_status(peer, now) for peer in core.members.peers.values()),
     )
 
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -78,11 +78,11 @@
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 31, 40])
 def test_shards_are_spread_evenly_and_alike(count):
     boxes = tuple(f"box-{number}" for number in range(count))
-    found = shard_records.assignment("ledger", boxes)
+    found = shard_records.assign_shards("ledger", boxes)
     shares = [list(found.values()).count(box) for box in boxes]
     assert sum(shares) == 32
     assert max(shares) <= -(-32 // count)
-    assert found == shard_records.assignment("ledger", boxes)
+    assert found == shard_records.assign_shards("ledger", boxes)
 
 
 def test_shards_are_spread_however_long_the_lease():
