--- a/ferrydeck/signed/core/local_target.py
+++ b/ferrydeck/signed/core/local_target.py
@@ -72,5 +72,5 @@
         if self.admission is not None:
             fresh.running = self.admission.running
             fresh.queue = self.admission.queue
-            fresh.mean_service_time_s = self.admission.mean_service_time_s
+            fresh.mean_service_s = self.admission.mean_service_s
         return fresh
--- a/ferrydeck/signed/core/priority.py
+++ b/ferrydeck/signed/core/priority.py
@@ -1,4 +1,4 @@
-"""The priority of a request: its class, then a hash that all hops share."""
+"""Request priorities: the class rank, then a hash that is the same at every hop."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from ferrydeck.signed.wire import messages
 
 TOP_RANK = 0
-BUCKETS_PER_CLASS = 1024
+BUCKETS = 1024
 TOP_LEVEL = messages.TOP_LEVEL
-"""The admission level that lets every call in."""
+"""The admission level that admits every call."""
 
 
 def for_request(rank: int, request_id: str) -> int:
-    """Return the priority; a lower number is shed later."""
-    return rank * BUCKETS_PER_CLASS + hashes.hash64(request_id) % BUCKETS_PER_CLASS
+    """Return the priority of a request; lower numbers are shed later."""
+    return rank * BUCKETS + hashes.hash64(request_id) % BUCKETS
 
 
 def rank_of(priority: int) -> int:
-    """Return the class rank in a priority."""
-    return priority // BUCKETS_PER_CLASS
+    """Return the class rank that a priority contains."""
+    return priority // BUCKETS
--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -211,7 +211,7 @@
     def _reject_without_lease(self, now: float, job: jobs.Job) -> None:
         """Reject a job that got its turn after the lease had ended."""
         slots = self.target.admission
-        decisions = slots.finish(now, service_time_s=slots.mean_service_time_s)
+        decisions = slots.finish(now, service_s=slots.mean_service_s)
         self.replies.reject_all(now, job, messages.Reason.NO_LEASE)
         self.apply_decisions(now, decisions)
 
@@ -243,10 +243,10 @@
             del self._running_requests[job.forward.request_id]
         self.replies.jobs.pop(jobs.attempt_id(job), None)
         self.correlation.close(job.run_token)
-        service_time_s = now - job.started_at
+        service_s = now - job.started_at
         self.apply_decisions(
             now,
             self.target.admission.finish(
-                now, service_time_s=service_time_s, overloaded=overloaded
+                now, service_s=service_s, overloaded=overloaded
             ),
         )
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -174,7 +174,7 @@
         decisions = self.target.admission.offer(
             now,
             job,
-            request_priority=forward.priority,
+            priority=forward.priority,
             depth=forward.depth,
             deadline=job.deadline,
         )
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -176,11 +176,11 @@
 
 def test_calls_over_the_limit_wait_or_are_refused(golden):
     made, session = ledger()
-    made.boxes["south-ledger"].core.serving.target.admission.mean_service_time_s = 0.05
+    made.boxes["south-ledger"].core.serving.target.admission.mean_service_s = 0.05
     made.stop("south-ledger")
     made.run(1)
     session.lines.clear()
-    made.boxes["north-ledger"].core.serving.target.admission.mean_service_time_s = 0.05
+    made.boxes["north-ledger"].core.serving.target.admission.mean_service_s = 0.05
     for number in range(7):
         path = f"/payments-ledger/balances/{number}?ms=50"
         made.call("north-entry", "GET", path, deadline_ms=80)
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -348,10 +348,10 @@
     first = posting(made, "north-entry", key)
     made.run(0.001)
     admission = made.boxes["south-ledger"].core.serving.target.admission
-    admission.running, admission.mean_service_time_s = 4, 100.0
+    admission.running, admission.mean_service_s = 4, 100.0
     second = posting(made, "south-entry", key)
     made.run(0.05)
-    admission.running, admission.mean_service_time_s = 0, 0.001
+    admission.running, admission.mean_service_s = 0, 0.001
     assert second.outcome == "not-run"
     made.run(2)
     assert first.outcome == "not-run"
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -9,8 +9,8 @@
 
 
 def offer(adm, job, *, rank=2, depth=0, deadline=10.0, now=0.0):
-    number = rank * priority.BUCKETS_PER_CLASS + 5
-    return adm.offer(now, job, request_priority=number, depth=depth, deadline=deadline)
+    number = rank * priority.BUCKETS + 5
+    return adm.offer(now, job, priority=number, depth=depth, deadline=deadline)
 
 
 def test_jobs_over_the_limit_wait_and_the_top_class_goes_first():
@@ -18,21 +18,21 @@
     assert offer(adm, "first") == [admission.Start(job="first")]
     assert offer(adm, "lookup") == []
     assert offer(adm, "posting", rank=0) == []
-    assert adm.finish(1.0, service_time_s=1.0) == [admission.Start(job="posting")]
+    assert adm.finish(1.0, service_s=1.0) == [admission.Start(job="posting")]
 
 
 def test_a_queue_that_is_full_refuses_its_last():
     adm = admission.Admission(slots=1)
     offer(adm, "running")
-    for number in range(admission.MIN_QUEUE_CAPACITY):
+    for number in range(admission.MIN_QUEUE_LENGTH):
         assert offer(adm, f"lookup-{number}") == []
     [refused] = offer(adm, "posting", rank=0)
-    assert refused.job == f"lookup-{admission.MIN_QUEUE_CAPACITY - 1}"
+    assert refused.job == f"lookup-{admission.MIN_QUEUE_LENGTH - 1}"
     assert refused.reason is messages.Reason.OVERLOAD
 
 
 def test_a_job_that_can_not_end_in_time_is_refused_at_once():
-    adm = admission.Admission(slots=1, mean_service_time_s=1.0)
+    adm = admission.Admission(slots=1, mean_service_s=1.0)
     offer(adm, "running")
     [refused] = offer(adm, "late", deadline=1.5)
     assert refused.job == "late"
@@ -46,7 +46,7 @@
 def test_broken_answers_lower_the_limit_and_a_busy_calm_raises_it():
     adm = admission.Admission(slots=10)
     offer(adm, "job")
-    adm.finish(0.05, service_time_s=0.05, overloaded=True)
+    adm.finish(0.05, service_s=0.05, overloaded=True)
     adm.advance_window(0.2)
     assert adm.limit(0.2) == 8
     for number in range(8):
@@ -60,7 +60,7 @@
     level.lower(0.0, 0)
     values = []
     for step in range(1, 9):
-        level.raise_if_due(step * levels.ADJUST_INTERVAL_S)
+        level.raise_if_due(step * levels.INTERVAL_S)
         values.append(level.value)
     assert values[:3] == [64, 192, 448]
     assert level.is_open
