--- a/ferrydeck/signed/core/handover.py
+++ b/ferrydeck/signed/core/handover.py
@@ -1,7 +1,7 @@
-"""Handing the keys of a shard over: the parts of a table, sent and received.
+"""Handover of a shard: transfer of its key table to the new owner in parts.
 
-Owns the tables that predecessors are handing over. A sending is known by its random
-number, so parts of an earlier one that failed are of no use.
+Each transfer has a random id, so parts of an earlier, failed transfer are never mixed
+with those of a later one.
 """
 
 from __future__ import annotations
@@ -12,30 +12,30 @@
 from ferrydeck.signed.wire import messages
 
 MAX_ENTRIES_PER_PART = 256
-"""Keys in one message, to bound its length."""
+"""Bounds the size of one message."""
 STEP_TIMEOUT_S = 2.0
-"""How long either side waits for the next step of a move, seconds."""
+"""How long either box waits for the next step of a handover."""
 
 
 @attrs.define(kw_only=True)
 class IncomingTable:
-    """A table that a predecessor is handing over."""
+    """A key table that the previous owner of a shard is transferring."""
 
     transfer_id: int
     quarantine_s: float
     confirmed_at: float = float("-inf")
-    """When this box confirmed to the predecessor that the table is here."""
+    """When this box confirmed to the previous owner that the table is complete."""
     parts: dict[int, tuple[messages.KeyEntry, ...]] = attrs.Factory(dict)
 
 
 @attrs.define(kw_only=True)
 class IncomingTables:
-    """The tables on their way to this box, by shard."""
+    """The key tables in transfer to this box, by shard."""
 
     tables: dict[int, IncomingTable] = attrs.Factory(dict)
 
     def add(self, part: messages.ShardHand) -> IncomingTable:
-        """Add a part; one of another sending begins the table anew."""
+        """Add a part; a part of a new transfer replaces the parts of an earlier one."""
         incoming = self.tables.get(part.shard)
         if incoming is None or incoming.transfer_id != part.sending:
             incoming = IncomingTable(
@@ -46,17 +46,17 @@
         return incoming
 
     def has_transfer(self, shard: int, transfer_id: int) -> bool:
-        """Return whether parts of a sending are here."""
+        """Return whether parts of a transfer have arrived."""
         incoming = self.tables.get(shard)
         return incoming is not None and incoming.transfer_id == transfer_id
 
     def ownership_pending(self, now: float, shard: int) -> bool:
-        """Return whether a whole table is here and its record is being changed."""
+        """Return whether the table was just confirmed, so that ownership may follow."""
         incoming = self.tables.get(shard)
         return incoming is not None and now - incoming.confirmed_at < STEP_TIMEOUT_S
 
     def pop(self, shard: int, transfer_id: int) -> IncomingTable | None:
-        """Remove the table of a shard; return it if it is that sending's."""
+        """Remove the table of a shard; return it if it belongs to the transfer."""
         incoming = self.tables.pop(shard, None)
         if incoming is None or not transfer_id or incoming.transfer_id != transfer_id:
             return None
@@ -70,7 +70,7 @@
     entries: tuple[messages.KeyEntry, ...],
     now: float,
 ) -> list[messages.ShardHand]:
-    """Return the messages that hand a shard's table over."""
+    """Return the messages that transfer a shard's key table."""
     count = max(1, -(-len(entries) // MAX_ENTRIES_PER_PART))
     return [
         messages.ShardHand(
--- a/ferrydeck/signed/core/leases.py
+++ b/ferrydeck/signed/core/leases.py
@@ -1,10 +1,10 @@
-"""The lease of a box that owns shards: one key in the platform, kept alive.
+"""The lease of a box that owns shards: one key in the platform, renewed until lost.
 
-The key `alive/<service>/<box>` names the holder: box, incarnation and term.
-It is renewed by compare-and-swap and lapses on its own. A box that wants the
-shards of a lapsed holder first writes a fence in the place of the key. So a
-holder that is fenced finds out at its next renewal, and its lease, counted
-from before the last renewal was sent, has ended before the fence could stand.
+The key `alive/<service>/<box>` names the holder: box, incarnation and term. It is
+renewed by compare-and-swap and expires by its TTL. Before another box takes over the
+shards of an expired holder, it writes a fence to the key. The holder sees the fence
+at its next renewal. Its own lease, counted from before its last renewal was sent,
+ends before a fence can be written.
 """
 
 from __future__ import annotations
@@ -15,49 +15,49 @@
 from ferrydeck.signed.core import context, effects, platform
 
 RENEWALS_PER_LEASE = 3
-"""Renewals sent in the time of one lease."""
-RENEWAL_SLACK_S = 0.05
-MIN_HELD_RATIO = 0.5
-"""Share of a lease for which a box must have held its own before it fences others."""
+"""Number of renewals sent during one lease period."""
+SLACK_S = 0.05
+FENCE_RATIO = 0.5
+"""Share of a lease period that a box must hold its own lease before it fences."""
 CLOCK_DRIFT_RATIO = 0.05
-"""Share of the lease given up for clocks that run at different rates."""
+"""Share of the lease given up to allow for clocks that run at different rates."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class LeaseRecord:
-    """The value of the lease key."""
+    """The value of a lease key."""
 
     box: str
     incarnation: int
     term: int
     beat: int = 0
     fence: bool = False
-    """Whether the holder was declared dead by another box."""
+    """Whether another box has declared the holder dead."""
 
     @property
     def holder(self) -> str:
-        """The holder as shard records name it."""
+        """The name of the holder in shard records."""
         return holder_name(self.box, self.incarnation, self.term)
 
     @property
     def order(self) -> tuple[int, int, bool]:
-        """Order of the values that one key takes over time."""
+        """Sort key: later values of the same lease key sort higher."""
         return (self.incarnation, self.term, self.fence)
 
 
 def holder_name(box: str, incarnation: int, term: int) -> str:
-    """Return the name of a holder."""
+    """Return the name of a holder in shard records."""
     return f"{box}/{incarnation}/{term}"
 
 
 def parse_holder(holder: str) -> LeaseRecord:
-    """Return the box, incarnation and term that a holder's name holds."""
+    """Return the box, incarnation and term in a holder's name."""
     box, incarnation, term = holder.rsplit("/", 2)
     return LeaseRecord(box=box, incarnation=int(incarnation), term=int(term))
 
 
 def decode(value: str) -> LeaseRecord | None:
-    """Return the value of a lease key, or `None` where it is none of ours."""
+    """Return the decoded value of a lease key, or `None` if it is malformed."""
     try:
         return msgspec.json.decode(value, type=LeaseRecord)
     except msgspec.DecodeError:
@@ -65,7 +65,7 @@
 
 
 def encode(record: LeaseRecord) -> str:
-    """Return the text that is stored for a lease key."""
+    """Return the encoded value of a lease key."""
     return msgspec.json.encode(record).decode()
 
 
@@ -76,12 +76,12 @@
     ctx: context.Context
     term: int = 1
     valid_until: float = float("-inf")
-    """Monotonic time up to which new keys may be taken."""
+    """Monotonic time until which new keys may be accepted."""
     superseded: bool = False
-    """Whether a later incarnation of this box holds the key."""
+    """Whether a later incarnation of this box holds the lease."""
     _key_version: int | None = None
     _last_beat: int = 0
-    _renewal_sent_at: float = 0.0
+    _sent_at: float = 0.0
     _held_since: float = 0.0
     _lease_s: float = 0.0
     _request_pending: bool = False
@@ -94,26 +94,25 @@
 
     @property
     def holder(self) -> str:
-        """The name of this holder."""
+        """The name of this holder in shard records."""
         identity = self.ctx.identity
         return holder_name(identity.box, identity.incarnation, self.term)
 
     def valid(self, now: float) -> bool:
-        """Return whether the lease holds now."""
+        """Return whether the lease is valid."""
         return now < self.valid_until
 
     def renew_if_due(self, now: float, lease_s: float) -> None:
-        """Renew when a share of the lease has passed, or it was not confirmed."""
+        """Renew if the renewal interval has passed or the lease is unconfirmed."""
         confirmed = self.valid(now) and self._key_version is not None
         if (
             not confirmed
-            or now - self._renewal_sent_at
-            >= lease_s / RENEWALS_PER_LEASE - RENEWAL_SLACK_S
+            or now - self._sent_at >= lease_s / RENEWALS_PER_LEASE - SLACK_S
         ):
             self.renew(now, lease_s)
 
     def renew(self, now: float, lease_s: float) -> None:
-        """Send a renewal, or first read the key where its version is not known."""
+        """Send a renewal, or read the key first if its version is unknown."""
         if self.superseded or self._request_pending:
             return
         self._request_pending = True
@@ -126,14 +125,14 @@
     def handle_result(
         self, now: float, request: platform.Request, result: platform.Result
     ) -> bool:
-        """Take the answer to a request about the key; return whether a term ended."""
+        """Handle the result of a request for the key; return whether the lease ended."""
         self._request_pending = False
         match result:
             case platform.Written(version=version):
                 self._confirm(version)
             case platform.Conflict() | platform.NoAnswer():
-                # The next renewal reads the key first. To read at once would
-                # flood a platform that serves old values.
+                # The next renewal reads the key first. An immediate read would
+                # flood a platform that serves stale values.
                 self._key_version = None
             case platform.Absent():
                 self._key_version = 0
@@ -143,10 +142,10 @@
         return False
 
     def _check_stored(self, now: float, entry: platform.Entry) -> bool:
-        """Compare what stands in the key with what this box wrote."""
+        """Compare the stored value with the last one that this box wrote."""
         stored = decode(entry.value)
-        mine = self.ctx.identity.incarnation
-        if stored is not None and stored.incarnation > mine:
+        own_incarnation = self.ctx.identity.incarnation
+        if stored is not None and stored.incarnation > own_incarnation:
             self.superseded = True
             self.valid_until = float("-inf")
             self.ctx.audit("lease", "a later incarnation of this box holds the lease")
@@ -166,22 +165,18 @@
         return ended
 
     def may_fence(self, now: float) -> bool:
-        """Return whether this box may declare others dead.
+        """Return whether this box may declare other holders dead.
 
-        After an outage of the platform every lease has lapsed, and the holders
-        are given the time to come back before anyone takes their shards.
+        After an outage of the platform every lease has expired; the delay gives the
+        holders time to renew before another box takes over their shards.
         """
-        return (
-            self.valid(now) and now - self._held_since >= self._lease_s * MIN_HELD_RATIO
-        )
+        return self.valid(now) and now - self._held_since >= self._lease_s * FENCE_RATIO
 
     def _confirm(self, version: int) -> None:
         self._key_version = version
-        if self._renewal_sent_at >= self.valid_until:
-            self._held_since = self._renewal_sent_at
-        self.valid_until = self._renewal_sent_at + self._lease_s * (
-            1 - CLOCK_DRIFT_RATIO
-        )
+        if self._sent_at >= self.valid_until:
+            self._held_since = self._sent_at
+        self.valid_until = self._sent_at + self._lease_s * (1 - CLOCK_DRIFT_RATIO)
 
     def _rewrite(self, now: float) -> None:
         self._request_pending = True
@@ -189,7 +184,7 @@
 
     def _write(self, now: float, lease_s: float) -> None:
         self._last_beat += 1
-        self._renewal_sent_at = now
+        self._sent_at = now
         self._lease_s = lease_s
         identity = self.ctx.identity
         record = LeaseRecord(
--- a/ferrydeck/signed/core/once.py
+++ b/ferrydeck/signed/core/once.py
@@ -42,7 +42,7 @@
         if entry is not None and entry.state is not keys.KeyState.REFUSED:
             self._answer_known_key(now, job, entry)
             return False
-        if isinstance(claim, ownership.KnownKeysOnly):
+        if isinstance(claim, ownership.KnownKeys):
             self._answer_unknown_key(now, job, claim)
             return False
         if entry is not None and job.accepted_at - MAX_TRANSIT_S <= entry.refused_at:
@@ -117,7 +117,7 @@
         self.replies.send(job, self._stored_answer(now, job, entry))
 
     def _answer_unknown_key(
-        self, now: float, job: jobs.Job, claim: ownership.KnownKeysOnly
+        self, now: float, job: jobs.Job, claim: ownership.KnownKeys
     ) -> None:
         """Answer for a key that this owner can't judge."""
         if claim.reason is messages.Reason.MOVING:
--- a/ferrydeck/signed/core/ownership.py
+++ b/ferrydeck/signed/core/ownership.py
@@ -1,4 +1,4 @@
-"""What a box knows of a shard that it owns, or is about to own."""
+"""State of a shard at its owner, and what a box may answer for a shard's keys."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ferrydeck.signed.wire import messages
 
 
-class MoveState(enum.Enum):
-    """How far the handing over of a shard has come."""
+class Move(enum.Enum):
+    """State of the handover of a shard to another box."""
 
     NONE = "none"
     DRAINING = "draining"
@@ -25,35 +25,33 @@
 
     epoch: int
     quarantine_until: float
-    move: MoveState = MoveState.NONE
+    move: Move = Move.NONE
     move_to: str = ""
-    table_sent_at: float = 0.0
+    sent_at: float = 0.0
     transfer_id: int = 0
     successor_holder: str = ""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class AcceptsNewKeys:
-    """This box owns the shard and may take a key that it does not know."""
+class AllKeys:
+    """This box owns the shard and accepts known and new keys."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class KnownKeysOnly:
-    """This box owns the shard but may answer only for keys that it knows."""
+class KnownKeys:
+    """This box owns the shard but may answer only for keys in its table."""
 
     reason: messages.Reason
     retry_after_s: float
 
 
-MOVING = KnownKeysOnly(
-    reason=messages.Reason.MOVING, retry_after_s=retry_after.MOVING_S
-)
-"""The shard is on its way to or from another box."""
+MOVING = KnownKeys(reason=messages.Reason.MOVING, retry_after_s=retry_after.MOVING_S)
+"""Result while the shard is being handed over to or from another box."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class NotOwner:
-    """This box can't answer for the shard's keys."""
+    """This box may not answer for any key of the shard."""
 
     reason: messages.Reason
     owner: str
--- a/ferrydeck/signed/core/shard_records.py
+++ b/ferrydeck/signed/core/shard_records.py
@@ -1,4 +1,4 @@
-"""The records of shards and holders in the platform, as far as this box knows them."""
+"""Local copies of the shard records and leases that the platform stores."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     epoch: int
     quarantine_s: float
     sending: int = 0
-    """The sending of the table that the holder has; 0 where it was given none."""
+    """Id of the transfer that gave the holder its key table; 0 for none."""
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -34,48 +34,48 @@
 
 @attrs.define(kw_only=True)
 class ShardRecords:
-    """Reads and changes the records, one request a key at a time."""
+    """Reads and writes the records, with at most one pending request per key."""
 
     ctx: context.Context
     lease: leases.Lease
     known: dict[int, VersionedRecord] = attrs.Factory(dict)
     lease_records: dict[str, leases.LeaseRecord] = attrs.Factory(dict)
     listed: bool = False
-    """Whether the records have been read at least once."""
+    """Whether the shard records have been read at least once."""
     stale: bool = True
-    """Whether they are to be read again at the next renewal."""
-    _pending_since: dict[str, float] = attrs.Factory(dict)
+    """Whether to read the shard records again at the next lease renewal."""
+    _pending: dict[str, float] = attrs.Factory(dict)
     _written: dict[int, ShardRecord] = attrs.Factory(dict)
 
     @property
     def lease_prefix(self) -> str:
-        """The prefix of the keys of holders."""
+        """The prefix of lease keys."""
         return f"alive/{self.ctx.identity.service}/"
 
     @property
     def shard_prefix(self) -> str:
-        """The prefix of the keys of shards."""
+        """The prefix of shard keys."""
         return f"shard/{self.ctx.identity.service}/"
 
     def list_leases(self, now: float) -> None:
-        """Read which holders are alive."""
+        """Request the leases of all boxes."""
         self._request(now, platform.List(prefix=self.lease_prefix))
 
     def list_shards(self, now: float) -> None:
-        """Read all records of shards."""
+        """Request all shard records."""
         self._request(now, platform.List(prefix=self.shard_prefix))
 
     def created_here(self, shard: int, record: ShardRecord) -> bool:
-        """Return whether a record is the first of its shard and was written here."""
+        """Return whether this box created the record, as the first one of the shard."""
         return record.epoch == 1 and self._written.get(shard) == record
 
     def owner_box(self, shard: int) -> str:
-        """Return the box that a record names; empty where there is none."""
+        """Return the box that a shard's record names, or an empty string."""
         known = self.known.get(shard)
         return leases.parse_holder(known.record.holder).box if known else ""
 
     def check_dead(self, now: float, holder: leases.LeaseRecord) -> bool:
-        """Return whether a holder can renew no more; fence it where it lapsed."""
+        """Return whether a holder is dead; if its lease expired, write a fence first."""
         stored = self.lease_records.get(holder.box)
         if stored is not None:
             return stored.fence or stored.order > holder.order
@@ -88,10 +88,10 @@
         )
         return False
 
-    def compare_and_swap(
+    def write(
         self, now: float, shard: int, holder: str, epoch: int, transfer_id: int = 0
     ) -> None:
-        """Change the record of a shard by compare-and-swap."""
+        """Write the record of a shard by compare-and-swap."""
         known = self.known.get(shard)
         quarantine_s = self.ctx.active.bundle.quarantine_s
         if known is not None:
@@ -110,27 +110,25 @@
     def handle_lease_result(
         self, now: float, request: platform.Request, result: platform.Result
     ) -> None:
-        """Take the answer to a request about holders."""
-        self._pending_since.pop(request_key(request), None)
+        """Handle the result of a request about leases."""
+        self._pending.pop(request_key(request), None)
         if not isinstance(result, platform.Listed):
             if isinstance(request, platform.Write):
                 self.list_leases(now)
             return
-        before = {box: lease.holder for box, lease in self.lease_records.items()}
+        holders = {box: lease.holder for box, lease in self.lease_records.items()}
         decoded = [leases.decode(entry.value) for entry in result.entries]
-        self.lease_records = {
-            lease.box: lease for lease in decoded if lease is not None
-        }
-        if before != {box: lease.holder for box, lease in self.lease_records.items()}:
+        self.lease_records = {one.box: one for one in decoded if one is not None}
+        if holders != {box: lease.holder for box, lease in self.lease_records.items()}:
             self.stale = True
             self.list_shards(now)
 
     def handle_shard_result(
         self, now: float, request: platform.Request, result: platform.Result
     ) -> list[int]:
-        """Take the answer to a request about shards; return those to look at."""
+        """Handle the result of a shard request; return shards whose record was read."""
         key = request_key(request)
-        self._pending_since.pop(key, None)
+        self._pending.pop(key, None)
         match request, result:
             case platform.List(), platform.Listed(entries=entries):
                 self.listed = True
@@ -148,7 +146,7 @@
         return []
 
     def _store_entry(self, entry: platform.Entry) -> list[int]:
-        """Take in a record, which may be older than one known already."""
+        """Store a record unless a newer one is known; return its shard if stored."""
         shard = shard_number(entry.key)
         try:
             record = msgspec.json.decode(entry.value, type=ShardRecord)
@@ -163,42 +161,42 @@
         return [shard]
 
     def _request(self, now: float, request: platform.Request) -> bool:
-        """Ask the platform, one request a key at a time; return whether it was sent."""
+        """Send a request unless one for its key is pending; return whether sent."""
         key = request_key(request)
-        if now - self._pending_since.get(key, -REQUEST_TIMEOUT_S) < REQUEST_TIMEOUT_S:
+        if now - self._pending.get(key, -REQUEST_TIMEOUT_S) < REQUEST_TIMEOUT_S:
             return False
-        self._pending_since[key] = now
+        self._pending[key] = now
         self.ctx.emit(effects.AskPlatform(request=request))
         return True
 
 
 def shard_number(key: str) -> int:
-    """Return the number of the shard that a key is the record of."""
+    """Return the shard number in the key of a shard record."""
     return int(key.rsplit("/", 1)[1])
 
 
 @functools.lru_cache(maxsize=256)
 def assign_shards(service: str, boxes: tuple[str, ...]) -> dict[int, str]:
-    """Return which box should own each shard, alike at every box.
+    """Return the box that should own each shard; every box computes the same result.
 
-    Each shard goes to the box with the highest hash that has room; no box gets
-    more than its even share, rounded up.
+    Rendezvous hashing with bounded load: each shard goes to the box with the highest
+    hash whose share, the mean rounded up, is not used up.
     """
     if not boxes:
         return {}
-    share = -(-bundles.SHARDS // len(boxes))
-    room = dict.fromkeys(boxes, share)
-    found = {}
+    max_shards = -(-bundles.SHARDS // len(boxes))
+    free_slots = dict.fromkeys(boxes, max_shards)
+    assigned = {}
     for shard in range(bundles.SHARDS):
-        free = [box for box in boxes if room[box]]
+        free = [box for box in boxes if free_slots[box]]
         best = max(free, key=lambda box: hashes.hash64(f"{service}/{shard}/{box}"))
-        found[shard] = best
-        room[best] -= 1
-    return found
+        assigned[shard] = best
+        free_slots[best] -= 1
+    return assigned
 
 
 def request_key(request: platform.Request) -> str:
-    """Return the key or prefix that a request is about."""
+    """Return the key or prefix of a request."""
     match request:
         case platform.List(prefix=prefix):
             return prefix
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -257,10 +257,10 @@
     shards = [keys.shard_of(key) for key in mine]
     owner = made.boxes["north-ledger"].core.owner
     for shard in shards:
-        owner.owned[shard].move = ownership.MoveState.DRAINING
+        owner.owned[shard].move = ownership.Move.DRAINING
         owner.owned[shard].move_to = "south-ledger"
     made.run(4)
-    assert all(owner.owned[shard].move is ownership.MoveState.NONE for shard in shards)
+    assert all(owner.owned[shard].move is ownership.Move.NONE for shard in shards)
     for key in mine:
         posting(made, "north-entry", key)
     made.run(0.5)
