--- a/ferrydeck/commands/call.py
+++ b/ferrydeck/commands/call.py
@@ -26,9 +26,9 @@
     """Send the call; show its outcome, box, attempts and time."""
     fields = {}
     if args.key:
-        fields[headers.KEY] = args.key
+        fields[headers.IDEMPOTENCY_KEY] = args.key
     if args.deadline_ms:
-        fields[headers.DEADLINE] = str(args.deadline_ms)
+        fields[headers.DEADLINE_MS] = str(args.deadline_ms)
     method = "GET" if args.post is None else "POST"
     started = clock.now()
     try:
--- a/ferrydeck/signed/core/attempts.py
+++ b/ferrydeck/signed/core/attempts.py
@@ -82,7 +82,7 @@
         self.by_attempt[number] = call
         self.router.sent(now, peer, number)
         remaining = call.remaining(now)
-        self.ctx.at(self.next_look(now, call), AttemptTimer(attempt=number))
+        self.ctx.schedule(self.next_look(now, call), AttemptTimer(attempt=number))
         forward = messages.Forward(
             attempt=number,
             service=call.service,
@@ -190,6 +190,6 @@
 
     def _hand(self, call: calls.Call) -> int:
         """Return the part of the call's allowance that goes with an attempt."""
-        if not self.ctx.policy.split_allowance:
+        if not self.ctx.policy.share_retry_allowance:
             return self.ctx.active.bundle.retry.allowance
-        return call.ledger.hand()
+        return call.allowance.take_child_share()
--- a/ferrydeck/signed/core/calls.py
+++ b/ferrydeck/signed/core/calls.py
@@ -69,7 +69,7 @@
     request_id: str
     priority: int
     depth: int
-    ledger: retries.Ledger
+    allowance: retries.RetryAllowance
     parent_path: str
     """The route of the request that this call is made for; empty for none."""
     started: float
@@ -156,7 +156,7 @@
 
 def forwarded_headers(call: Call) -> tuple[messages.Header, ...]:
     """Return the fields for the target; the rest of a broken answer is a range."""
-    passed = headers.passed_on(call.request.headers)
+    passed = headers.end_to_end(call.request.headers)
     if call.stream is None:
         return passed
     rest = messages.Header(name=headers.RANGE, value=f"bytes={call.stream.offset}-")
--- a/ferrydeck/signed/core/context.py
+++ b/ferrydeck/signed/core/context.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define(kw_only=True)
-class Active:
+class ActiveBundle:
     """The bundle in force, with what is looked up in it for each call."""
 
     bundle: bundles.Bundle
@@ -64,9 +64,9 @@
         return None
 
 
-def active_of(verified: signing.Verified) -> Active:
+def make_active_bundle(verified: signing.Verified) -> ActiveBundle:
     """Return what is looked up in a verified bundle."""
-    return Active(
+    return ActiveBundle(
         bundle=verified.bundle,
         digest=verified.digest,
         raw=verified.raw,
@@ -81,30 +81,32 @@
     identity: Identity
     rng: random.Random
     policy: policies.Policy = policies.Policy()
-    active: Active | None = None
+    active: ActiveBundle | None = None
     leaving: bool = False
-    out: list[effects.Effect] = attrs.Factory(list)
-    to_self: collections.deque[messages.Message] = attrs.Factory(collections.deque)
+    pending_effects: list[effects.Effect] = attrs.Factory(list)
+    loopback_messages: collections.deque[messages.Message] = attrs.Factory(
+        collections.deque
+    )
     timers: list[tuple[float, int, Any]] = attrs.Factory(list)
-    _sequence: int = 0
+    _last_number: int = 0
 
     def next_number(self) -> int:
         """Return a number that this incarnation has not used before."""
-        self._sequence += 1
-        return self._sequence
+        self._last_number += 1
+        return self._last_number
 
     def emit(self, effect: effects.Effect) -> None:
         """Ask for an effect."""
-        self.out.append(effect)
+        self.pending_effects.append(effect)
 
     def send(
         self, box: str, address: str, incarnation: int, message: messages.Message
     ) -> None:
         """Send a message to a daemon; to itself without the network."""
         if box == self.identity.box and incarnation == self.identity.incarnation:
-            self.to_self.append(message)
+            self.loopback_messages.append(message)
             return
-        self.out.append(
+        self.pending_effects.append(
             effects.SendPeer(
                 box=box, address=address, incarnation=incarnation, message=message
             )
@@ -112,22 +114,22 @@
 
     def count(self, name: str, label: str = "") -> None:
         """Add one to a counter."""
-        self.out.append(effects.Count(name=name, label=label))
+        self.pending_effects.append(effects.Count(name=name, label=label))
 
     def audit(self, action: str, detail: str) -> None:
         """Put a change of state on the audit trail."""
-        self.out.append(effects.Audit(action=action, detail=detail))
+        self.pending_effects.append(effects.Audit(action=action, detail=detail))
 
-    def at(self, when: float, timer: Any) -> None:
+    def schedule(self, when: float, timer: Any) -> None:
         """Have `timer` handled at `when`; a stale one is ignored by its handler."""
         heapq.heappush(self.timers, (when, self.next_number(), timer))
 
-    def due(self, now: float) -> Any | None:
+    def pop_due_timer(self, now: float) -> Any | None:
         """Return a timer whose time has come, or `None`."""
         if not self.timers or self.timers[0][0] > now:
             return None
         return heapq.heappop(self.timers)[2]
 
-    def spread_ms(self, base_s: float) -> int:
+    def jittered_ms(self, base_s: float) -> int:
         """Return a time to come back, ms, so that callers don't return together."""
         return int(1000 * base_s * (1 + self.rng.random()))
--- a/ferrydeck/signed/core/correlation.py
+++ b/ferrydeck/signed/core/correlation.py
@@ -22,7 +22,7 @@
     depth: int
     expires: float
     """When the time of the request is over, on this box's clock."""
-    ledger: retries.Ledger
+    allowance: retries.RetryAllowance
     path_key: str
     """The route of the request, as `levels.path_key` names it."""
 
@@ -34,7 +34,7 @@
     runs: dict[str, Run] = attrs.Factory(dict)
     path_levels: levels.PathLevels = attrs.Factory(levels.PathLevels)
 
-    def open(self, run: Run) -> None:
+    def add(self, run: Run) -> None:
         """Add a run that starts."""
         self.runs[run.token] = run
 
@@ -42,11 +42,11 @@
         """Return the run of a token, or `None`."""
         return self.runs.get(token) if token else None
 
-    def close(self, token: str) -> int:
+    def remove(self, token: str) -> int:
         """Remove a run; return what is left of its allowance."""
         run = self.runs.pop(token, None)
         if run is None:
             return 0
-        left = run.ledger.left
-        run.ledger.left = 0
+        left = run.allowance.remaining
+        run.allowance.remaining = 0
         return left
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -109,12 +109,12 @@
         self.rollout.start(now)
         self.owner.start(now)
         self.serving.start(now)
-        self.ctx.at(now + HEARTBEAT_S, HeartbeatTimer())
+        self.ctx.schedule(now + HEARTBEAT_S, HeartbeatTimer())
         return self._collect(now)
 
     def accept(self, now: float, verified: signing.Verified) -> list[effects.Effect]:
         """Put a verified bundle in force, where none comes by the platform."""
-        self.ctx.active = context.active_of(verified)
+        self.ctx.active = context.make_active_bundle(verified)
         self.rollout.changed = True
         return self._collect(now)
 
@@ -144,10 +144,10 @@
 
     def _collect(self, now: float) -> list[effects.Effect]:
         self._settle(now)
-        while (timer := self.ctx.due(now)) is not None:
+        while (timer := self.ctx.pop_due_timer(now)) is not None:
             self._on_timer(now, timer)
             self._settle(now)
-        out, self.ctx.out = self.ctx.out, []
+        out, self.ctx.pending_effects = self.ctx.pending_effects, []
         return out
 
     def _settle(self, now: float) -> None:
@@ -157,8 +157,10 @@
             self.serving.target.apply_bundle(now)
             self.owner.apply_bundle(now)
             self.forwarder.retrying.budgets.clear()
-        while self.ctx.to_self:
-            self._on_message(now, self._own_envelope(now), self.ctx.to_self.popleft())
+        while self.ctx.loopback_messages:
+            self._on_message(
+                now, self._own_envelope(now), self.ctx.loopback_messages.popleft()
+            )
 
     def _on_event(self, now: float, event: events.Event) -> None:
         match event:
@@ -211,7 +213,7 @@
         refused = messages.Refused(
             attempt=message.attempt,
             reason=messages.Reason.INCARNATION,
-            retry_after_ms=self.ctx.spread_ms(retry_after.REJECTED_S),
+            retry_after_ms=self.ctx.jittered_ms(retry_after.TARGET_REJECTED_S),
             unused=message.allowance,
             load=messages.Load(),
         )
@@ -303,7 +305,7 @@
             case rollout.BoxesTimer():
                 self.rollout.read_boxes(now)
             case HeartbeatTimer():
-                self.ctx.at(now + HEARTBEAT_S, HeartbeatTimer())
+                self.ctx.schedule(now + HEARTBEAT_S, HeartbeatTimer())
             case LeaveTimer():
                 self._check_left(now)
 
@@ -316,12 +318,12 @@
             self.members.change_own(now, state=messages.State.LEAVING)
             for peer in self.members.peers.values():
                 self.members.send(peer, messages.Hello(member=self.members.own))
-        self.ctx.at(now + LEAVE_CHECK_S, LeaveTimer())
+        self.ctx.schedule(now + LEAVE_CHECK_S, LeaveTimer())
 
     def _check_left(self, now: float) -> None:
         done = self.forwarder.idle and self.serving.idle and self.owner.can_leave(now)
         if not done:
-            self.ctx.at(now + LEAVE_CHECK_S, LeaveTimer())
+            self.ctx.schedule(now + LEAVE_CHECK_S, LeaveTimer())
             return
         if self._ending and not self._ended:
             self._ended = True
--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -86,7 +86,7 @@
             return
         self.attempts.add(made)
         self.retrying.count_fresh(made.service)
-        self.ctx.at(made.deadline, DeadlineTimer(call=made.number))
+        self.ctx.schedule(made.deadline, DeadlineTimer(call=made.number))
         self._try(now, made)
 
     def answered(
@@ -96,10 +96,10 @@
         call = self.attempts.end(now, envelope, message, keep=True)
         if call is None:
             return
-        call.ledger.put_back(message.unused)
+        call.allowance.refund(message.unused)
         if message.replayed and call.resent and call.attempts == 1:
             # This sending cost one, and was answered from memory.
-            call.ledger.put_back(1)
+            call.allowance.refund(1)
         if call.stream is not None:
             self.streaming.handle_resumed(now, call, message)
             return
@@ -116,7 +116,7 @@
         call = self.attempts.end(now, envelope, message)
         if call is None:
             return
-        call.ledger.put_back(message.unused)
+        call.allowance.refund(message.unused)
         self._after_rejection(now, call, envelope.box, message)
 
     def uncertain(
@@ -148,7 +148,7 @@
         if call is None:
             return
         self.attempts.drop(call)
-        call.ledger.put_back(message.allowance)
+        call.allowance.refund(message.allowance)
         rejected = messages.Refused(
             attempt=message.attempt,
             reason=messages.Reason.NOT_SENT,
@@ -197,7 +197,7 @@
             self._try(now, call)
             return
         timer = attempts.AttemptTimer(attempt=attempt)
-        self.ctx.at(self.attempts.next_look(now, call), timer)
+        self.ctx.schedule(self.attempts.next_look(now, call), timer)
 
     def deadline_over(self, now: float, number: int) -> None:
         """Answer a caller whose time is over."""
@@ -271,7 +271,7 @@
             case retrying.Retry(pause_s=0.0):
                 self._try(now, call)
             case retrying.Retry(pause_s=pause_s):
-                self.ctx.at(now + pause_s, RetryTimer(call=call.number))
+                self.ctx.schedule(now + pause_s, RetryTimer(call=call.number))
             case retrying.GiveUp(may_have_run=may_have_run):
                 call.may_have_run |= may_have_run
                 if retry_after_ms is None:
@@ -339,4 +339,4 @@
         )
 
     def _retry_after_ms(self) -> int:
-        return self.ctx.spread_ms(retry_after.CALLER_S)
+        return self.ctx.jittered_ms(retry_after.ENTRY_REJECTED_S)
--- a/ferrydeck/signed/core/headers.py
+++ b/ferrydeck/signed/core/headers.py
@@ -6,8 +6,8 @@
 
 from ferrydeck.signed.wire import messages
 
-KEY = "idempotency-key"
-DEADLINE = "ferrydeck-deadline-ms"
+IDEMPOTENCY_KEY = "idempotency-key"
+DEADLINE_MS = "ferrydeck-deadline-ms"
 CONTEXT = "ferrydeck-context"
 OUTCOME = "ferrydeck-outcome"
 REASON = "ferrydeck-reason"
@@ -20,7 +20,7 @@
 CONTENT_RANGE = "content-range"
 ETAG = "etag"
 
-OF_ONE_HOP = frozenset(
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -32,7 +32,7 @@
         "content-length",
         "host",
         "expect",
-        DEADLINE,
+        DEADLINE_MS,
         CONTEXT,
         OUTCOME,
         REASON,
@@ -44,7 +44,7 @@
 """Fields that are not passed on: they belong to one connection or to this layer."""
 
 
-def first(headers: Iterable[messages.Header], name: str) -> str:
+def first_value(headers: Iterable[messages.Header], name: str) -> str:
     """Return the value of the first field of that name, or nothing."""
     for header in headers:
         if header.name == name:
@@ -52,8 +52,8 @@
     return ""
 
 
-def passed_on(
+def end_to_end(
     headers: Iterable[messages.Header],
 ) -> tuple[messages.Header, ...]:
     """Return the fields that go on to the next hop."""
-    return tuple(header for header in headers if header.name not in OF_ONE_HOP)
+    return tuple(header for header in headers if header.name not in HOP_BY_HOP)
--- a/ferrydeck/signed/core/intake.py
+++ b/ferrydeck/signed/core/intake.py
@@ -38,7 +38,7 @@
 class Resent:
     """A key that came in before, with the allowance that all its sendings share."""
 
-    ledger: retries.Ledger
+    allowance: retries.RetryAllowance
     until: float
     may_have_run: bool = False
 
@@ -56,7 +56,7 @@
     def make(self, now: float, event: events.CallReceived) -> calls.Call | Rejected:
         """Return the call for a request, or why there is none."""
         if self.ctx.active is None:
-            keyed = bool(headers.first(event.headers, headers.KEY))
+            keyed = bool(headers.first_value(event.headers, headers.IDEMPOTENCY_KEY))
             return Rejected(reason=messages.Reason.NO_BUNDLE, may_have_run=keyed)
         service, _, rest = event.path[1:].partition("/")
         path = f"/{rest}"
@@ -64,7 +64,7 @@
         route = self.ctx.active.route(service, event.method, bare)
         if route is None:
             return Rejected(reason=messages.Reason.NO_ROUTE)
-        key = headers.first(event.headers, headers.KEY)
+        key = headers.first_value(event.headers, headers.IDEMPOTENCY_KEY)
         reason = fault(event, route, key)
         if reason is not None:
             return Rejected(reason=reason, class_name=route.class_name)
@@ -81,7 +81,9 @@
     def _parent(self, event: events.CallReceived) -> correlation.Run | None:
         if not event.local:
             return None
-        return self.correlation.find(headers.first(event.headers, headers.CONTEXT))
+        return self.correlation.find(
+            headers.first_value(event.headers, headers.CONTEXT)
+        )
 
     def _call(
         self,
@@ -100,10 +102,10 @@
             deadline = min(deadline, parent.expires)
             depth = parent.depth + 1
             rank = min(rank, priority.rank_of(parent.priority))
-        if parent is not None and self.ctx.policy.coherent:
+        if parent is not None and self.ctx.policy.consistent_priority:
             request_id = parent.request_id
         allowance = self.ctx.active.bundle.retry.allowance
-        if event.local and parent is None and self.ctx.policy.split_allowance:
+        if event.local and parent is None and self.ctx.policy.share_retry_allowance:
             allowance = 0
         return calls.Call(
             conn=event.conn,
@@ -117,7 +119,7 @@
             request_id=request_id,
             priority=priority.for_request(rank, request_id),
             depth=depth,
-            ledger=retries.Ledger(left=allowance),
+            allowance=retries.RetryAllowance(remaining=allowance),
             parent_path=parent.path_key if parent else "",
             started=now,
             deadline=deadline,
@@ -127,17 +129,17 @@
         self, now: float, call: calls.Call, parent: correlation.Run | None
     ) -> calls.Call | Rejected:
         """Have a call that was sent before draw on the allowance of the first."""
-        if not self.ctx.policy.split_allowance:
+        if not self.ctx.policy.share_retry_allowance:
             return call
         if parent is not None:
-            call.ledger = parent.ledger
+            call.allowance = parent.allowance
             req = call.request
             mark = hashes.fingerprint(
                 call.service, req.method, call.path, call.key, req.body
             )
-            if parent.ledger.first_time(mark):
+            if parent.allowance.is_new_call(mark):
                 return call
-            if parent.ledger.spend():
+            if parent.allowance.try_spend():
                 call.resent = True
                 return call
             return self._spent(call, may_have_run=True)
@@ -152,10 +154,12 @@
         resent = self.resends.get(resend_key(call))
         if resent is None:
             until = now + self.ctx.active.bundle.kept_s
-            self.resends[resend_key(call)] = Resent(ledger=call.ledger, until=until)
+            self.resends[resend_key(call)] = Resent(
+                allowance=call.allowance, until=until
+            )
             return call
-        call.ledger = resent.ledger
-        if resent.ledger.spend():
+        call.allowance = resent.allowance
+        if resent.allowance.try_spend():
             call.resent = True
             return call
         return self._spent(call, may_have_run=resent.may_have_run)
@@ -186,7 +190,7 @@
         return messages.Reason.KEY_MISSING
     if len(key) > MAX_KEY:
         return messages.Reason.BAD_REQUEST
-    named = headers.first(event.headers, headers.DEADLINE)
+    named = headers.first_value(event.headers, headers.DEADLINE_MS)
     if named and not (named.isascii() and named.isdigit()):
         return messages.Reason.BAD_REQUEST
     if len(named) > DEADLINE_DIGITS:
@@ -196,14 +200,14 @@
 
 def deadline_s(event: events.CallReceived, route: bundles.Route) -> float:
     """Return the time that a caller waits, seconds."""
-    named = headers.first(event.headers, headers.DEADLINE)
+    named = headers.first_value(event.headers, headers.DEADLINE_MS)
     wanted = int(named) if named else route.deadline_ms
     return min(wanted, route.deadline_ms) / 1000
 
 
 def caller_of(event: events.CallReceived) -> str:
     """Return what distinguishes callers: a digest of their credentials."""
-    credentials = headers.first(event.headers, headers.AUTHORIZATION)
+    credentials = headers.first_value(event.headers, headers.AUTHORIZATION)
     return hashes.hash128_hex(credentials) if credentials else ""
 
 
--- a/ferrydeck/signed/core/membership.py
+++ b/ferrydeck/signed/core/membership.py
@@ -81,7 +81,7 @@
         for address in self.seeds:
             if address != self.own.address:
                 self._send_to(address, messages.Hello(member=self.own, relay=True))
-        self.ctx.at(now + DIGEST_EVERY_S * self.ctx.rng.random(), DigestTimer())
+        self.ctx.schedule(now + DIGEST_EVERY_S * self.ctx.rng.random(), DigestTimer())
 
     def change_own(self, now: float, **changes: object) -> None:
         """Change this daemon's own record and send it out."""
@@ -180,7 +180,9 @@
 
     def tick(self, now: float) -> None:
         """Compare notes with one random box, and forget those long gone."""
-        self.ctx.at(now + DIGEST_EVERY_S * (0.5 + self.ctx.rng.random()), DigestTimer())
+        self.ctx.schedule(
+            now + DIGEST_EVERY_S * (0.5 + self.ctx.rng.random()), DigestTimer()
+        )
         for peer in self._sample(1):
             summary = messages.Digest(members=self.summary(), answer_wanted=True)
             self.send(peer, summary)
--- a/ferrydeck/signed/core/once.py
+++ b/ferrydeck/signed/core/once.py
@@ -20,7 +20,7 @@
     """Starts each key at most once and answers all its sendings."""
 
     ctx: context.Context
-    replies: replies.Replies
+    replies: replies.ReplySender
     owner: shards.ShardOwner
     table: keys.KeyTable
     deferred: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
@@ -63,7 +63,7 @@
             return
         entry.jobs.remove(job)
         self.replies.jobs.pop(jobs.attempt_id(job), None)
-        self.replies.uncertain(now, job, messages.Reason.CANCELLED)
+        self.replies.reply_uncertain(now, job, messages.Reason.CANCELLED)
 
     def store_answer(self, entry: keys.KeyRecord, answer: messages.Answer) -> None:
         """Remember the answer of a key and send it to all who wait for it."""
@@ -94,7 +94,7 @@
         entry.state = keys.KeyState.UNCERTAIN
         for waiter in entry.jobs:
             self.replies.jobs.pop(jobs.attempt_id(waiter), None)
-            self.replies.uncertain(now, waiter, reason)
+            self.replies.reply_uncertain(now, waiter, reason)
         entry.jobs = []
 
     def _answer_known_key(
@@ -112,7 +112,7 @@
             self.replies.jobs[jobs.attempt_id(job)] = job
             return
         if entry.state is keys.KeyState.UNCERTAIN:
-            self.replies.uncertain(now, job, messages.Reason.TARGET_LOST)
+            self.replies.reply_uncertain(now, job, messages.Reason.TARGET_LOST)
             return
         self.replies.send(job, self._stored_answer(now, job, entry))
 
@@ -124,7 +124,7 @@
             # The move takes some ms; then the successor is known, or it failed.
             self.deferred[jobs.attempt_id(job)] = job
             return
-        self.replies.uncertain(now, job, claim.reason, claim.retry_after_s)
+        self.replies.reply_uncertain(now, job, claim.reason, claim.retry_after_s)
 
     def _add_key(
         self, now: float, job: jobs.Job, reason: messages.Reason | None
@@ -146,7 +146,7 @@
         self.table.add(entry)
         job.key_record = entry
         if reason is not None:
-            self.replies.reject_all(now, job, reason)
+            self.replies.reject_with_waiters(now, job, reason)
             return False
         return True
 
--- a/ferrydeck/signed/core/policies.py
+++ b/ferrydeck/signed/core/policies.py
@@ -24,55 +24,60 @@
 class IdleQueue:
     """Take a box known as idle, else the less loaded of `d` drawn at random."""
 
-    d: int
+    sample_size: int
 
 
-Chooser = RoundRobin | LeastOfTwo | LeastOfAll | IdleQueue
+BoxChooser = RoundRobin | LeastOfTwo | LeastOfAll | IdleQueue
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Policy:
     """Which mechanisms are on; the default is what ships."""
 
-    chooser: Chooser = LeastOfTwo()
-    limited: bool = True
+    box_chooser: BoxChooser = LeastOfTwo()
+    limit_concurrency: bool = True
     """Hold a concurrency limit at the target's daemon."""
-    ordered: bool = True
+    order_by_priority: bool = True
     """Order the queue by class and shed from its end."""
-    coherent: bool = True
+    consistent_priority: bool = True
     """Take the hash of the request along the chain, the same at every hop."""
-    shed_early: bool = True
+    shed_at_caller: bool = True
     """Refuse at the caller's daemon by the level that the target announced."""
-    split_allowance: bool = True
+    share_retry_allowance: bool = True
     """Split one retry allowance along the chain, not a fresh one a hop."""
-    budget: bool = True
+    limit_retry_ratio: bool = True
     """Hold retries to a share of fresh calls."""
 
 
 BASELINE = Policy(
-    chooser=RoundRobin(),
-    limited=False,
-    ordered=False,
-    coherent=False,
-    shed_early=False,
-    split_allowance=False,
-    budget=False,
+    box_chooser=RoundRobin(),
+    limit_concurrency=False,
+    order_by_priority=False,
+    consistent_priority=False,
+    shed_at_caller=False,
+    share_retry_allowance=False,
+    limit_retry_ratio=False,
 )
 
-NAMED = {
+POLICIES_BY_NAME = {
     "baseline": BASELINE,
-    "limit": attrs.evolve(BASELINE, limited=True),
-    "order": attrs.evolve(BASELINE, limited=True, ordered=True),
-    "coherent": attrs.evolve(BASELINE, limited=True, ordered=True, coherent=True),
-    "retry": attrs.evolve(BASELINE, split_allowance=True, budget=True),
-    "no-early": Policy(shed_early=False),
-    "no-coherence": Policy(coherent=False),
-    "no-order": Policy(ordered=False),
-    "no-split": Policy(split_allowance=False, budget=False),
-    "round-robin": Policy(chooser=RoundRobin()),
-    "least-of-all": Policy(chooser=LeastOfAll()),
-    "idle-1": Policy(chooser=IdleQueue(d=1)),
-    "idle-2": Policy(chooser=IdleQueue(d=2)),
-    "idle-all": Policy(chooser=IdleQueue(d=1_000_000)),
+    "limit": attrs.evolve(BASELINE, limit_concurrency=True),
+    "order": attrs.evolve(BASELINE, limit_concurrency=True, order_by_priority=True),
+    "coherent": attrs.evolve(
+        BASELINE,
+        limit_concurrency=True,
+        order_by_priority=True,
+        consistent_priority=True,
+    ),
+    "retry": attrs.evolve(BASELINE, share_retry_allowance=True, limit_retry_ratio=True),
+    "no-early": Policy(shed_at_caller=False),
+    "no-coherence": Policy(consistent_priority=False),
+    "no-order": Policy(order_by_priority=False),
+    "no-split": Policy(share_retry_allowance=False, limit_retry_ratio=False),
+    "round-robin": Policy(box_chooser=RoundRobin()),
+    "least-of-all": Policy(box_chooser=LeastOfAll()),
+    "idle-1": Policy(box_chooser=IdleQueue(sample_size=1)),
+    "idle-2": Policy(box_chooser=IdleQueue(sample_size=2)),
+    "idle-all": Policy(box_chooser=IdleQueue(sample_size=1_000_000)),
     "full": Policy(),
 }
--- a/ferrydeck/signed/core/replies.py
+++ b/ferrydeck/signed/core/replies.py
@@ -14,12 +14,12 @@
 
 
 @attrs.define(kw_only=True)
-class Replies:
+class ReplySender:
     """Sends replies to the daemons that jobs came from."""
 
     ctx: context.Context
     target: local_target.LocalTarget
-    table: keys.KeyTable
+    key_table: keys.KeyTable
     jobs: dict[tuple[str, int, int], jobs.Job]
 
     def reject(
@@ -30,14 +30,16 @@
         rejected = messages.Refused(
             attempt=job.forward.attempt,
             reason=reason,
-            retry_after_ms=self.ctx.spread_ms(retry_after.REJECTED_S),
+            retry_after_ms=self.ctx.jittered_ms(retry_after.TARGET_REJECTED_S),
             unused=job.forward.allowance,
             load=self.target.load(now, job.forward),
             owner=owner,
         )
         self.send(job, rejected)
 
-    def reject_all(self, now: float, job: jobs.Job, reason: messages.Reason) -> None:
+    def reject_with_waiters(
+        self, now: float, job: jobs.Job, reason: messages.Reason
+    ) -> None:
         """Reject a job, and with it all that wait for the same key."""
         if job.key_record is None:
             self.jobs.pop(jobs.attempt_id(job), None)
@@ -45,23 +47,23 @@
             return
         waiters, job.key_record.jobs = job.key_record.jobs, []
         keep_s = self.ctx.active.bundle.longest_deadline_s
-        self.table.mark_refused(job.key_record, now, keep_s)
+        self.key_table.mark_refused(job.key_record, now, keep_s)
         for waiter in waiters:
             self.jobs.pop(jobs.attempt_id(waiter), None)
             self.reject(now, waiter, reason)
 
-    def uncertain(
+    def reply_uncertain(
         self,
         now: float,
         job: jobs.Job,
         reason: messages.Reason,
-        retry_after_s: float = retry_after.UNKNOWN_S,
+        retry_after_s: float = retry_after.OUTCOME_UNKNOWN_S,
     ) -> None:
         """Reply that a job, or an earlier sending of its key, may have run."""
         uncertain = messages.Uncertain(
             attempt=job.forward.attempt,
             reason=reason,
-            retry_after_ms=self.ctx.spread_ms(retry_after_s),
+            retry_after_ms=self.ctx.jittered_ms(retry_after_s),
             load=self.target.load(now),
         )
         self.send(job, uncertain)
--- a/ferrydeck/signed/core/retries.py
+++ b/ferrydeck/signed/core/retries.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-BUDGET_RESERVE = 10.0
+MAX_BUDGET_TOKENS = 10.0
 """Retries that a quiet service may make before its share counts."""
 
 
 @attrs.define(kw_only=True)
-class Ledger:
+class RetryAllowance:
     """The extra attempts that are left to one request at one hop.
 
     What a hop hands to a child leaves the ledger; what the child did not use
@@ -17,47 +17,47 @@
     over all hops never exceeds what the request started with.
     """
 
-    left: int
-    seen: set[int] = attrs.Factory(set)
+    remaining: int
+    seen_fingerprints: set[int] = attrs.Factory(set)
     """Fingerprints of the calls that were made for this request here."""
 
-    def hand(self) -> int:
+    def take_child_share(self) -> int:
         """Take the part for a child out: all but one kept for this hop's own use."""
-        part = self.left - 1 if self.left > 1 else self.left
-        self.left -= part
+        part = self.remaining - 1 if self.remaining > 1 else self.remaining
+        self.remaining -= part
         return part
 
-    def put_back(self, unused: int) -> None:
+    def refund(self, unused: int) -> None:
         """Put back what a child did not use."""
-        self.left += max(0, unused)
+        self.remaining += max(0, unused)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one extra attempt; false where none is left."""
-        if self.left < 1:
+        if self.remaining < 1:
             return False
-        self.left -= 1
+        self.remaining -= 1
         return True
 
-    def first_time(self, fingerprint: int) -> bool:
+    def is_new_call(self, fingerprint: int) -> bool:
         """Return whether a call is fresh; the same call again is a retry."""
-        if fingerprint in self.seen:
+        if fingerprint in self.seen_fingerprints:
             return False
-        self.seen.add(fingerprint)
+        self.seen_fingerprints.add(fingerprint)
         return True
 
 
 @attrs.define(kw_only=True)
-class Budget:
+class RetryBudget:
     """Retries towards one service, held to a share of its fresh calls."""
 
-    share: float
-    tokens: float = BUDGET_RESERVE
+    ratio: float
+    tokens: float = MAX_BUDGET_TOKENS
 
-    def fresh(self) -> None:
+    def record_call(self) -> None:
         """Count a fresh call."""
-        self.tokens = min(self.tokens + self.share, BUDGET_RESERVE)
+        self.tokens = min(self.tokens + self.ratio, MAX_BUDGET_TOKENS)
 
-    def spend(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry; false where the share is used up."""
         if self.tokens < 1:
             return False
--- a/ferrydeck/signed/core/retry_after.py
+++ b/ferrydeck/signed/core/retry_after.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-CALLER_S = 0.5
+ENTRY_REJECTED_S = 0.5
 """The caller's own daemon found no box, or lost the one that it had asked."""
-REJECTED_S = 0.2
+TARGET_REJECTED_S = 0.2
 """The target's daemon rejected the attempt, or was restarted since it was sent."""
-UNKNOWN_S = 1.0
+OUTCOME_UNKNOWN_S = 1.0
 """The request may have run, and its fate is not known at the target's daemon."""
-MOVING_S = 0.1
+SHARD_MOVING_S = 0.1
 """The key's shard changes hands, which takes some milliseconds."""
--- a/ferrydeck/signed/core/retrying.py
+++ b/ferrydeck/signed/core/retrying.py
@@ -66,7 +66,7 @@
 
     ctx: context.Context
     router: routing.Router
-    budgets: dict[str, retries.Budget] = attrs.Factory(dict)
+    budgets: dict[str, retries.RetryBudget] = attrs.Factory(dict)
 
     def after_rejection(
         self, now: float, call: calls.Call, box: str, reason: messages.Reason
@@ -119,20 +119,20 @@
 
     def count_fresh(self, service: str) -> None:
         """Count a fresh call to a service, which earns a share of a retry."""
-        self._budget(service).fresh()
+        self._budget(service).record_call()
 
     def spend(self, now: float, call: calls.Call, *, budgeted: bool = True) -> bool:
         """Take one retry from what the request and the service have left."""
         if call.remaining(now) <= 0:
             return False
-        if call.ledger.left < 1:
+        if call.allowance.remaining < 1:
             self.ctx.count("retries_denied", "allowance")
             return False
-        asks_budget = budgeted and self.ctx.policy.budget
-        if asks_budget and not self._budget(call.service).spend():
+        asks_budget = budgeted and self.ctx.policy.limit_retry_ratio
+        if asks_budget and not self._budget(call.service).try_spend():
             self.ctx.count("retries_denied", "budget")
             return False
-        return call.ledger.spend()
+        return call.allowance.try_spend()
 
     def _another_box(self, call: calls.Call, *besides: str) -> bool:
         """Return whether a box of the service was not tried yet."""
@@ -140,9 +140,9 @@
         peers = self.router.candidates(call.service)
         return any(peer.member.box not in tried for peer in peers)
 
-    def _budget(self, service: str) -> retries.Budget:
+    def _budget(self, service: str) -> retries.RetryBudget:
         budget = self.budgets.get(service)
         if budget is None:
             share = self.ctx.active.bundle.retry.budget
-            budget = self.budgets[service] = retries.Budget(share=share)
+            budget = self.budgets[service] = retries.RetryBudget(ratio=share)
         return budget
--- a/ferrydeck/signed/core/rollout.py
+++ b/ferrydeck/signed/core/rollout.py
@@ -90,9 +90,9 @@
     def start(self, now: float) -> None:
         """Begin to read the pointer and the list of boxes."""
         self.ctx.emit(effects.AskPlatform(request=platform.Read(key=POINTER)))
-        self.ctx.at(now, BoxesTimer())
+        self.ctx.schedule(now, BoxesTimer())
         wait_s = FIRST_WAIT_S if self.members.seeds else 0.0
-        self.ctx.at(now + wait_s, FirstTimer())
+        self.ctx.schedule(now + wait_s, FirstTimer())
 
     def watch(self, now: float) -> None:
         """Watch the pointer, or read it where others watch."""
@@ -107,7 +107,7 @@
     def read_boxes(self, now: float) -> None:
         """Read the list of boxes, where this box watches the platform."""
         every = BOXES_EVERY_S * (0.9 + 0.2 * self.ctx.rng.random())
-        self.ctx.at(now + every, BoxesTimer())
+        self.ctx.schedule(now + every, BoxesTimer())
         if self.members.is_watcher():
             self.ctx.emit(effects.AskPlatform(request=platform.ListBoxes()))
 
@@ -142,7 +142,7 @@
         if bundle.version <= self.version:
             self._older(verified, source)
             return
-        self.ctx.active = context.active_of(verified)
+        self.ctx.active = context.make_active_bundle(verified)
         self.changed = True
         self.ctx.audit(
             "bundle-accepted",
@@ -216,7 +216,7 @@
                     delay = self._poll_delay()
             case _:
                 self.ctx.count("platform_faults", "pointer")
-        self.ctx.at(now + max(delay, WATCH_RETRY_S / 10), WatchTimer())
+        self.ctx.schedule(now + max(delay, WATCH_RETRY_S / 10), WatchTimer())
 
     def _poll_delay(self) -> float:
         """Return when to read again; soon while there is no bundle at all."""
--- a/ferrydeck/signed/core/routing.py
+++ b/ferrydeck/signed/core/routing.py
@@ -133,7 +133,7 @@
         """Choose a box for a call of priority `number`, not one of `tried`."""
         peers = self.candidates(service)
         near = self._near.get(service, [])
-        if near and not isinstance(self.ctx.policy.chooser, policies.RoundRobin):
+        if near and not isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
             # Most calls stay in the data centre, and its boxes are few.
             found = self._choose_among(now, service, near, number, path_key, tried)
             if isinstance(found, Chosen) and self._has_space(now, found.peer):
@@ -156,7 +156,7 @@
         usable = [one for one in peers if self._usable(now, one)]
         if not usable:
             return NoBox()
-        if self.ctx.policy.shed_early:
+        if self.ctx.policy.shed_at_caller:
             open_ones = [
                 one for one in usable if number <= self.view(one).level(now, path_key)
             ]
@@ -311,7 +311,7 @@
     def _pick(
         self, now: float, service: str, peers: list[membership.Peer]
     ) -> membership.Peer:
-        if isinstance(self.ctx.policy.chooser, policies.RoundRobin):
+        if isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
             self._turn[service] += 1
             return peers[self._turn[service] % len(peers)]
         centre = self.ctx.identity.data_centre
@@ -327,14 +327,14 @@
         return other if far_score < self.view(best).score(now) else best
 
     def _least(self, now: float, peers: list[membership.Peer]) -> membership.Peer:
-        match self.ctx.policy.chooser:
+        match self.ctx.policy.box_chooser:
             case policies.LeastOfAll():
                 sampled = peers
-            case policies.IdleQueue(d=d):
+            case policies.IdleQueue(sample_size=sample_size):
                 idle = [one for one in peers if self._idle(now, one)]
                 if idle:
                     return self.ctx.rng.choice(idle)
-                sampled = self._draw(peers, d)
+                sampled = self._draw(peers, sample_size)
             case _:
                 sampled = self._draw(peers, 2)
         scored = [(self.view(one).score(now), one) for one in sampled]
--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -51,7 +51,7 @@
     owner: shards.ShardOwner
     correlation: correlation.Correlation
     target: local_target.LocalTarget
-    replies: replies.Replies
+    replies: replies.ReplySender
     once: once.KeyedJobs
     running: dict[int, jobs.Job] = attrs.Factory(dict)
     """The running jobs by the number of their dispatch."""
@@ -68,7 +68,7 @@
                 case admission.Start(job=job):
                     self._start(now, job)
                 case admission.Reject(job=job, reason=reason):
-                    self.replies.reject_all(now, job, reason)
+                    self.replies.reject_with_waiters(now, job, reason)
 
     def cancel(self, now: float, job: jobs.Job) -> None:
         """Stop a running job whose answer nobody wants any more.
@@ -99,13 +99,13 @@
             return
         job.body_bytes = event.total
         job.sent_bytes = len(event.body)
-        unused = self.correlation.close(job.run_token)
+        unused = self.correlation.remove(job.run_token)
         if not long:
             self._finish(now, job, overloaded=event.status == OVERLOAD_STATUS)
         answer = messages.Answer(
             attempt=job.forward.attempt,
             status=event.status,
-            headers=headers.passed_on(event.headers),
+            headers=headers.end_to_end(event.headers),
             body=event.body,
             total=event.total,
             unused=unused,
@@ -144,7 +144,7 @@
             self._reply_uncertain(now, job, event.reason)
             return
         self._finish(now, job, overloaded=True)
-        self.replies.reject_all(now, job, event.reason)
+        self.replies.reject_with_waiters(now, job, event.reason)
 
     def check_stall(self, now: float, dispatch: int) -> None:
         """End a long answer that has not moved for too long."""
@@ -152,7 +152,7 @@
         if job is None:
             return
         if now - job.last_progress_at < STALL_TIMEOUT_S:
-            self.ctx.at(
+            self.ctx.schedule(
                 job.last_progress_at + STALL_TIMEOUT_S, StallTimer(dispatch=dispatch)
             )
             return
@@ -174,14 +174,14 @@
         job.run_token = f"{self.ctx.rng.getrandbits(64):016x}"
         self.running[job.dispatch_id] = job
         self._running_requests[forward.request_id] += 1
-        self.correlation.open(
+        self.correlation.add(
             correlation.Run(
                 token=job.run_token,
                 request_id=forward.request_id,
                 priority=forward.priority,
                 depth=forward.depth,
                 expires=job.deadline,
-                ledger=retries.Ledger(left=forward.allowance),
+                allowance=retries.RetryAllowance(remaining=forward.allowance),
                 path_key=self.target.path_key(forward),
             )
         )
@@ -202,7 +202,7 @@
             headers=(
                 *forward.headers,
                 messages.Header(name=headers.CONTEXT, value=job.run_token),
-                messages.Header(name=headers.DEADLINE, value=str(int(left * 1000))),
+                messages.Header(name=headers.DEADLINE_MS, value=str(int(left * 1000))),
             ),
             body=forward.body,
             timeout_s=timeout_s,
@@ -212,13 +212,13 @@
         """Reject a job that got its turn after the lease had ended."""
         slots = self.target.admission
         decisions = slots.finish(now, service_s=slots.mean_service_s)
-        self.replies.reject_all(now, job, messages.Reason.NO_LEASE)
+        self.replies.reject_with_waiters(now, job, messages.Reason.NO_LEASE)
         self.apply_decisions(now, decisions)
 
     def _stream(self, now: float, job: jobs.Job) -> None:
         job.state = jobs.JobState.STREAMING
         job.last_progress_at = now
-        self.ctx.at(now + STALL_TIMEOUT_S, StallTimer(dispatch=job.dispatch_id))
+        self.ctx.schedule(now + STALL_TIMEOUT_S, StallTimer(dispatch=job.dispatch_id))
         for _ in range(MAX_PARTS_IN_FLIGHT):
             self.ctx.emit(effects.ReadTarget(dispatch=job.dispatch_id))
 
@@ -230,7 +230,7 @@
         # A slow target has as many slots as before; only a broken one has fewer.
         self._finish(now, job, overloaded=reason is not messages.Reason.NO_ANSWER)
         if job.key_record is None:
-            self.replies.uncertain(now, job, reason)
+            self.replies.reply_uncertain(now, job, reason)
             return
         self.once.mark_uncertain(now, job.key_record, reason)
 
@@ -242,7 +242,7 @@
         if not self._running_requests[job.forward.request_id]:
             del self._running_requests[job.forward.request_id]
         self.replies.jobs.pop(jobs.attempt_id(job), None)
-        self.correlation.close(job.run_token)
+        self.correlation.remove(job.run_token)
         service_s = now - job.started_at
         self.apply_decisions(
             now,
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -44,7 +44,7 @@
     table: keys.KeyTable
     correlation: correlation.Correlation
     target: local_target.LocalTarget = attrs.field(init=False)
-    replies: replies.Replies = attrs.field(init=False)
+    replies: replies.ReplySender = attrs.field(init=False)
     once: once.KeyedJobs = attrs.field(init=False)
     runs: runs.Runs = attrs.field(init=False)
     jobs: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
@@ -59,8 +59,8 @@
         self.target = local_target.LocalTarget(
             ctx=self.ctx, correlation=self.correlation
         )
-        self.replies = replies.Replies(
-            ctx=self.ctx, target=self.target, table=self.table, jobs=self.jobs
+        self.replies = replies.ReplySender(
+            ctx=self.ctx, target=self.target, key_table=self.table, jobs=self.jobs
         )
         self.once = once.KeyedJobs(
             ctx=self.ctx, replies=self.replies, owner=self.owner, table=self.table
@@ -82,7 +82,7 @@
     def start(self, now: float) -> None:
         """Begin to look for jobs that are too late."""
         if self.ctx.identity.service:
-            self.ctx.at(now + EXPIRY_INTERVAL_S, ExpiryTimer())
+            self.ctx.schedule(now + EXPIRY_INTERVAL_S, ExpiryTimer())
 
     def handle_forward(
         self, now: float, sender: jobs.Sender, forward: messages.Forward, delay: float
@@ -107,7 +107,7 @@
         self._cancelled_attempts.add(now, identity)
         parked = self.once.deferred.pop(identity, None)
         if parked is not None:
-            self.replies.uncertain(now, parked, messages.Reason.CANCELLED)
+            self.replies.reply_uncertain(now, parked, messages.Reason.CANCELLED)
             return
         job = self.jobs.get(identity)
         if job is None:
@@ -127,12 +127,12 @@
 
     def expire_jobs(self, now: float) -> None:
         """Reject the queued jobs that are too late, and decide on parked ones."""
-        self.ctx.at(now + EXPIRY_INTERVAL_S, ExpiryTimer())
+        self.ctx.schedule(now + EXPIRY_INTERVAL_S, ExpiryTimer())
         if self.target.admission is not None:
             self.runs.apply_decisions(now, self.target.admission.expire(now))
         for job in self.once.take_deferred():
             if now >= job.deadline:
-                self.replies.uncertain(now, job, messages.Reason.MOVING)
+                self.replies.reply_uncertain(now, job, messages.Reason.MOVING)
                 continue
             self._process(now, job)
 
@@ -164,9 +164,9 @@
     def _offer(self, now: float, job: jobs.Job) -> None:
         """Queue or start a job, or reject it."""
         forward = job.forward
-        sheds = self.ctx.policy.shed_early
+        sheds = self.ctx.policy.shed_at_caller
         if sheds and forward.priority > self.target.path_level(now, forward):
-            self.replies.reject_all(now, job, messages.Reason.OVERLOAD)
+            self.replies.reject_with_waiters(now, job, messages.Reason.OVERLOAD)
             return
         self.jobs[jobs.attempt_id(job)] = job
         if forward.depth and self.runs.is_request_running(forward.request_id):
@@ -188,4 +188,4 @@
         if entry is not None and entry.state is keys.KeyState.RUNNING:
             return
         self.target.admission.remove_queued(job)
-        self.replies.reject_all(now, job, messages.Reason.CANCELLED)
+        self.replies.reject_with_waiters(now, job, messages.Reason.CANCELLED)
--- a/ferrydeck/signed/core/shards.py
+++ b/ferrydeck/signed/core/shards.py
@@ -85,8 +85,8 @@
     def start(self, now: float) -> None:
         """Start lease renewal and rebalancing."""
         if self.service:
-            self.ctx.at(now, LeaseTimer())
-            self.ctx.at(now, RebalanceTimer())
+            self.ctx.schedule(now, LeaseTimer())
+            self.ctx.schedule(now, RebalanceTimer())
 
     def key_authority(
         self, now: float, shard: int
@@ -123,7 +123,7 @@
         """Renew the lease if due, and read the leases of all boxes."""
         once = self.ctx.active.bundle.once if self.ctx.active else None
         interval_s = once.lease_s / leases.RENEWALS_PER_LEASE if once else 1.0
-        self.ctx.at(now + min(interval_s, MAX_LIST_INTERVAL_S), LeaseTimer())
+        self.ctx.schedule(now + min(interval_s, MAX_LIST_INTERVAL_S), LeaseTimer())
         if not self.needs_shards or once is None:
             return
         self.lease.renew_if_due(now, once.lease_s)
@@ -134,7 +134,7 @@
 
     def rebalance(self, now: float) -> None:
         """Claim free shards assigned to this box; hand over those of other boxes."""
-        self.ctx.at(now + REBALANCE_INTERVAL_S, RebalanceTimer())
+        self.ctx.schedule(now + REBALANCE_INTERVAL_S, RebalanceTimer())
         self.table.expire(now)
         if not self.needs_shards or not self.records.listed:
             return
--- a/ferrydeck/signed/core/streaming.py
+++ b/ferrydeck/signed/core/streaming.py
@@ -73,7 +73,7 @@
             return
         due = call.stream.moved_at + STREAM_STALL_TIMEOUT_S
         if now < due:
-            self.ctx.at(due, StreamStallTimer(call=number))
+            self.ctx.schedule(due, StreamStallTimer(call=number))
             return
         self.resume_elsewhere(now, call)
 
@@ -83,10 +83,12 @@
             status=message.status,
             total=message.total,
             offset=len(message.body),
-            etag=headers.first(message.headers, headers.ETAG),
+            etag=headers.first_value(message.headers, headers.ETAG),
             moved_at=now,
         )
-        self.ctx.at(now + STREAM_STALL_TIMEOUT_S, StreamStallTimer(call=call.number))
+        self.ctx.schedule(
+            now + STREAM_STALL_TIMEOUT_S, StreamStallTimer(call=call.number)
+        )
 
     def _find_call(
         self, envelope: messages.Envelope, attempt: int
@@ -128,9 +130,9 @@
     ) -> None:
         """Go on with a long answer from another box, if it is the same body."""
         stream = call.stream
-        ranges = headers.first(message.headers, headers.CONTENT_RANGE)
+        ranges = headers.first_value(message.headers, headers.CONTENT_RANGE)
         wanted = rf"bytes {stream.offset}-{stream.total - 1}/{stream.total}"
-        same = headers.first(message.headers, headers.ETAG) == stream.etag
+        same = headers.first_value(message.headers, headers.ETAG) == stream.etag
         if message.status != 206 or not same or not re.fullmatch(wanted, ranges):
             self._abort(now, call)
             return
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -77,7 +77,11 @@
     for number in range(CALLS_EACH):
         for service, method, path, class_name, repeatable, _ in sample.ROUTES:
             size = AUDIO_BYTES if class_name == "audio-download" else 0
-            fields = {} if repeatable else {headers.KEY: f"{seed}-{number}-{service}"}
+            fields = (
+                {}
+                if repeatable
+                else {headers.IDEMPOTENCY_KEY: f"{seed}-{number}-{service}"}
+            )
             query = f"?ms={rng.uniform(1, 8):.2f}&size={size}"
             begun = time.monotonic()
             answer = client.fetch(
--- a/tests/promises/test_at_most_once_processes.py
+++ b/tests/promises/test_at_most_once_processes.py
@@ -11,7 +11,7 @@
         "POST",
         f"/payments-ledger/postings?ms={ms}",
         body=key.encode(),
-        headers={headers.KEY: key, headers.DEADLINE: str(deadline_ms)},
+        headers={headers.IDEMPOTENCY_KEY: key, headers.DEADLINE_MS: str(deadline_ms)},
     )
 
 
@@ -102,7 +102,7 @@
         "POST",
         "/payments-ledger/postings?ms=5",
         body=b"another body",
-        headers={headers.KEY: "key"},
+        headers={headers.IDEMPOTENCY_KEY: "key"},
     )
     assert mixed.status == 422
     stranger = client.fetch(
@@ -110,7 +110,7 @@
         "POST",
         "/payments-ledger/postings?ms=5",
         body=b"key",
-        headers={headers.KEY: "key", headers.AUTHORIZATION: "Bearer other"},
+        headers={headers.IDEMPOTENCY_KEY: "key", headers.AUTHORIZATION: "Bearer other"},
     )
     assert stranger.status == 422
     assert mesh.effects() == {"key": 1}
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -123,7 +123,7 @@
     def send(first):
         for number in range(first, first + 60):
             path = f"/payments-ledger/balances/{number}"
-            fields = {headers.DEADLINE: "300"}
+            fields = {headers.DEADLINE_MS: "300"}
             answer = client.fetch(entry.address("entry"), "GET", path, headers=fields)
             told[str(number)] = answer.headers[headers.OUTCOME]
 
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -51,7 +51,7 @@
                     entry.address("entry"),
                     "POST" if post else "GET",
                     f"/payments-ledger{path}",
-                    headers={headers.KEY: f"{caller}-{number}"},
+                    headers={headers.IDEMPOTENCY_KEY: f"{caller}-{number}"},
                 )
             except ConnectionRefusedError:
                 self.told["refused to connect"] += 1
--- a/tests/promises/test_retry_bound.py
+++ b/tests/promises/test_retry_bound.py
@@ -28,17 +28,17 @@
         nonlocal spent
         for _ in range(rng.randrange(4) if depth < DEPTH else 0):
             while True:
-                handed = ledger.hand()
-                child = retries.Ledger(left=handed)
+                handed = ledger.take_child_share()
+                child = retries.RetryAllowance(remaining=handed)
                 if rng.random() < 0.5:
                     hop(child, depth + 1)
                 lost = rng.random() < 0.3
-                ledger.put_back(0 if lost else child.left)
-                if rng.random() < 0.5 or not ledger.spend():
+                ledger.refund(0 if lost else child.remaining)
+                if rng.random() < 0.5 or not ledger.try_spend():
                     break
                 spent += 1
 
-    hop(retries.Ledger(left=allowance), 0)
+    hop(retries.RetryAllowance(remaining=allowance), 0)
     assert spent <= allowance
 
 
@@ -78,7 +78,7 @@
 
 
 def test_without_the_split_the_same_chain_runs_far_more_often():
-    policy = policies.Policy(split_allowance=False, budget=False)
+    policy = policies.Policy(share_retry_allowance=False, limit_retry_ratio=False)
     made = deep_world(1, policy)
     made.call("entry", "GET", deep_path(4, 2, 7, 500), deadline_ms=1000)
     made.run(5)
@@ -109,7 +109,7 @@
     middle = f"/route-planning/sheets/1?call={urllib.parse.quote(deep, safe='')}"
     path = f"/farmer-enquiry/farmers/1?call={urllib.parse.quote(middle, safe='')}"
     for _ in range(10):
-        fields = {headers.KEY: "one-request"}
+        fields = {headers.IDEMPOTENCY_KEY: "one-request"}
         client.fetch(entry.address("entry"), "GET", path, headers=fields)
     for box in mesh.boxes.values():
         if box.service:
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -20,7 +20,7 @@
             "POST",
             "/payments-ledger/postings/7",
             body=b"12.50",
-            headers={headers.KEY: "posting-7"},
+            headers={headers.IDEMPOTENCY_KEY: "posting-7"},
         )
         assert answer.status == 200
         assert answer.headers[headers.OUTCOME] == "done"
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -67,12 +67,12 @@
 
 
 def test_a_budget_holds_retries_to_a_share():
-    budget = retries.Budget(share=0.1)
+    budget = retries.RetryBudget(ratio=0.1)
     spent = 0
     for _ in range(1000):
-        budget.fresh()
-        spent += budget.spend()
-    assert spent == pytest.approx(100 + retries.BUDGET_RESERVE, abs=2)
+        budget.record_call()
+        spent += budget.try_spend()
+    assert spent == pytest.approx(100 + retries.MAX_BUDGET_TOKENS, abs=2)
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 31, 40])
