--- a/ferrydeck/signed/core/attempts.py
+++ b/ferrydeck/signed/core/attempts.py
@@ -20,7 +20,7 @@
 )
 from ferrydeck.signed.wire import messages
 
-LOOK_EVERY_S = 0.25
+CHECK_INTERVAL_S = 0.25
 """How often an attempt that takes long is looked at, seconds."""
 
 
@@ -57,17 +57,17 @@
                 call.service,
                 number=call.priority,
                 path_key=call.path_key,
-                tried=call.tried,
+                tried=call.tried_boxes,
             )
         hint, call.owner_hint = call.owner_hint, ""
         return self.router.choose_owner(
             call.service,
             keys.shard_of(call.key),
             hint=hint,
-            tried=call.tried,
+            tried=call.tried_boxes,
         )
 
-    def begin(self, now: float, call: calls.Call, peer: membership.Peer) -> None:
+    def start(self, now: float, call: calls.Call, peer: membership.Peer) -> None:
         """Send an attempt to a box."""
         number = self.ctx.next_number()
         member = peer.member
@@ -77,12 +77,12 @@
             box=member.box,
             incarnation=member.incarnation,
             address=member.call_address,
-            handed=self._hand(call),
+            allowance=self._allowance_for_attempt(call),
         )
         self.by_attempt[number] = call
-        self.router.sent(now, peer, number)
-        remaining = call.remaining(now)
-        self.ctx.schedule(self.next_look(now, call), AttemptTimer(attempt=number))
+        self.router.attempt_sent(now, peer, number)
+        remaining = call.remaining_s(now)
+        self.ctx.schedule(self.next_check(now, call), AttemptTimer(attempt=number))
         forward = messages.Forward(
             attempt=number,
             service=call.service,
@@ -93,7 +93,7 @@
             request_id=call.request_id,
             priority=call.priority,
             depth=call.depth,
-            allowance=call.attempt.handed,
+            allowance=call.attempt.allowance,
             remaining_ms=remaining * 1000,
             age_ms=(now - call.started) * 1000,
             once=not call.route.repeatable,
@@ -102,13 +102,13 @@
         )
         self.send(call.attempt, forward)
 
-    def next_look(self, now: float, call: calls.Call) -> float:
+    def next_check(self, now: float, call: calls.Call) -> float:
         """Return when to look at an attempt again."""
         if not call.route.repeatable:
             return call.cancel_at
-        return min(call.cancel_at, now + LOOK_EVERY_S)
+        return min(call.cancel_at, now + CHECK_INTERVAL_S)
 
-    def end(
+    def match_reply(
         self,
         now: float,
         envelope: messages.Envelope,
@@ -122,25 +122,25 @@
         """
         call = self.by_attempt.get(message.attempt)
         attempt = call.attempt if call is not None else None
-        if attempt is None or attempt.answered:
+        if attempt is None or attempt.head_received:
             self.ctx.count("late_answers", "peer")
             return None
         if (attempt.box, attempt.incarnation) != (envelope.box, envelope.incarnation):
             self.ctx.count("late_answers", "foreign")
             return None
-        self.router.ended(
+        self.router.attempt_ended(
             now, envelope.box, message.attempt, message.load, call.path_key
         )
-        attempt.answered = keep and len(message.body) < message.total
-        if not attempt.answered:
+        attempt.head_received = keep and len(message.body) < message.total
+        if not attempt.head_received:
             del self.by_attempt[message.attempt]
             call.attempt = None
         return call
 
-    def drop(self, call: calls.Call) -> None:
+    def abandon(self, call: calls.Call) -> None:
         """Wait no longer for the attempt in hand, which its box can't answer."""
         self.by_attempt.pop(call.attempt.number, None)
-        self.router.given_up(call.attempt.box, call.attempt.number)
+        self.router.attempt_abandoned(call.attempt.box, call.attempt.number)
         call.attempt = None
 
     def cancel(self, call: calls.Call) -> None:
@@ -148,7 +148,7 @@
         attempt = call.attempt
         if attempt is None:
             return
-        self.drop(call)
+        self.abandon(call)
         if not call.cancelling:
             self.send(attempt, messages.Cancel(attempt=attempt.number))
 
@@ -166,7 +166,7 @@
     ) -> None:
         """End a call whose answer is out, and count it."""
         if outcome is not effects.Outcome.NOT_RUN:
-            self.intake.settled(call, True)
+            self.intake.record_outcome(call, True)
         self.forget(call)
         self.ctx.emit(
             effects.CallFinished(
@@ -186,9 +186,9 @@
         self.by_number.pop(call.number, None)
         if call.attempt is not None:
             self.by_attempt.pop(call.attempt.number, None)
-            self.router.given_up(call.attempt.box, call.attempt.number)
+            self.router.attempt_abandoned(call.attempt.box, call.attempt.number)
 
-    def _hand(self, call: calls.Call) -> int:
+    def _allowance_for_attempt(self, call: calls.Call) -> int:
         """Return the part of the call's allowance that goes with an attempt."""
         if not self.ctx.policy.share_retry_allowance:
             return self.ctx.active.bundle.retry.allowance
--- a/ferrydeck/signed/core/calls.py
+++ b/ferrydeck/signed/core/calls.py
@@ -5,17 +5,17 @@
 import attrs
 
 from ferrydeck.signed import bundle as bundles
-from ferrydeck.signed.core import effects, events, headers, levels, retries
+from ferrydeck.signed.core import effects, events, headers, levels, retry_limits
 from ferrydeck.signed.wire import messages
 
-HOP_MARGIN_S = 0.01
+MAX_HOP_MARGIN_S = 0.01
 """What a hop keeps of the time left, seconds; at most a twentieth of it."""
-CANCEL_GRACE_S = 0.05
+MAX_CANCEL_GRACE_S = 0.05
 """Time to learn whether a cancelled attempt had started, seconds; at most a tenth
 of the whole time."""
-RETRY_AFTER_UNIT_MS = 1000
+MS_PER_S = 1000
 
-STATUS_OF = {
+STATUS_BY_REASON = {
     messages.Reason.BAD_REQUEST: 400,
     messages.Reason.KEY_MISSING: 400,
     messages.Reason.NO_ROUTE: 404,
@@ -34,8 +34,8 @@
     box: str
     incarnation: int
     address: str
-    handed: int
-    answered: bool = False
+    allowance: int
+    head_received: bool = False
     """Whether the head of its answer has come."""
 
 
@@ -47,10 +47,10 @@
     total: int
     offset: int
     etag: str
-    moved_at: float
-    base: int = 0
+    last_progress: float
+    attempt_offset: int = 0
     """Offset in the body at which the answer of the present attempt begins."""
-    resumed_at: int = -1
+    resumed_offset: int = -1
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -69,18 +69,18 @@
     request_id: str
     priority: int
     depth: int
-    allowance: retries.RetryAllowance
-    parent_path: str
+    allowance: retry_limits.RetryAllowance
+    parent_path_key: str
     """The route of the request that this call is made for; empty for none."""
     started: float
     deadline: float
     may_have_run: bool = False
     attempts: int = 0
-    tried: list[str] = attrs.Factory(list)
+    tried_boxes: list[str] = attrs.Factory(list)
     attempt: Attempt | None = None
     stream: Stream | None = None
     cancelling: bool = False
-    resent: bool = False
+    charged_as_retry: bool = False
     """Whether this sending itself was taken from the allowance."""
     owner_hint: str = ""
 
@@ -90,29 +90,29 @@
         return levels.path_key(self.route.method, self.route.path)
 
     @property
-    def grace_s(self) -> float:
+    def cancel_grace_s(self) -> float:
         """Time kept at the end for the reply to a cancelled attempt, seconds."""
-        return min(CANCEL_GRACE_S, 0.1 * (self.deadline - self.started))
+        return min(MAX_CANCEL_GRACE_S, 0.1 * (self.deadline - self.started))
 
     @property
     def cancel_at(self) -> float:
         """When an attempt that was not answered is cancelled."""
-        return self.deadline - self.grace_s
+        return self.deadline - self.cancel_grace_s
 
-    def remaining(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return the time that an attempt may take from now on, seconds."""
         left = self.cancel_at - now
-        return left - min(HOP_MARGIN_S, 0.05 * max(0.0, left))
+        return left - min(MAX_HOP_MARGIN_S, 0.05 * max(0.0, left))
 
 
 def status_of(outcome: effects.Outcome, reason: messages.Reason) -> int:
     """Return the HTTP status of an answer that no target gave."""
     if outcome is effects.Outcome.UNKNOWN:
         return STATUS_UNKNOWN
-    return STATUS_OF.get(reason, STATUS_NOT_RUN)
+    return STATUS_BY_REASON.get(reason, STATUS_NOT_RUN)
 
 
-def rejection(
+def failure_response(
     conn: int,
     outcome: effects.Outcome,
     reason: messages.Reason,
@@ -120,7 +120,7 @@
     attempts: int,
 ) -> effects.AnswerCaller:
     """Return the final answer of a call that no target answered."""
-    seconds = -(-retry_after_ms // RETRY_AFTER_UNIT_MS)
+    seconds = -(-retry_after_ms // MS_PER_S)
     body = f"{outcome}: {reason}\n".encode()
     return effects.AnswerCaller(
         conn=conn,
@@ -138,7 +138,9 @@
     )
 
 
-def answer(call: Call, box: str, received: messages.Answer) -> effects.AnswerCaller:
+def target_response(
+    call: Call, box: str, received: messages.Answer
+) -> effects.AnswerCaller:
     """Return the target's answer for the caller."""
     return effects.AnswerCaller(
         conn=call.conn,
--- a/ferrydeck/signed/core/correlation.py
+++ b/ferrydeck/signed/core/correlation.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from ferrydeck.signed.core import levels, retries
+from ferrydeck.signed.core import levels, retry_limits
 
 
 @attrs.define(kw_only=True)
@@ -22,7 +22,7 @@
     depth: int
     expires: float
     """When the time of the request is over, on this box's clock."""
-    allowance: retries.RetryAllowance
+    allowance: retry_limits.RetryAllowance
     path_key: str
     """The route of the request, as `levels.path_key` names it."""
 
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -34,13 +34,13 @@
 )
 from ferrydeck.signed.wire import codec, messages
 
-PAUSE_S = 0.25
+MIN_PAUSE_S = 0.25
 """A gap between two events from which on the process counts as paused, seconds."""
-SUSPECT_S = 0.1
+PAUSE_EFFECT_S = 0.1
 """How long after a pause messages may have waited for all of it, seconds."""
-HEARTBEAT_S = 0.1
+HEARTBEAT_INTERVAL_S = 0.1
 """The longest time between two events while the process is not paused, seconds."""
-LEAVE_CHECK_S = 0.05
+LEAVE_CHECK_INTERVAL_S = 0.05
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -66,15 +66,15 @@
     ctx: context.Context = attrs.field(init=False)
     members: membership.Membership = attrs.field(init=False)
     router: routing.Router = attrs.field(init=False)
-    owner: shards.ShardOwner = attrs.field(init=False)
+    shard_owner: shards.ShardOwner = attrs.field(init=False)
     serving: serving.Serving = attrs.field(init=False)
     forwarder: forwarding.Forwarder = attrs.field(init=False)
     rollout: rollout.Rollout = attrs.field(init=False)
-    _last: float = 0.0
-    _paused_s: float = 0.0
-    _suspect_until: float = 0.0
-    _ending: bool = False
-    _ended: bool = False
+    _last_event: float = 0.0
+    _pause_s: float = 0.0
+    _pause_effect_until: float = 0.0
+    _stop_when_idle: bool = False
+    _stopped: bool = False
 
     def __attrs_post_init__(self) -> None:
         ctx = context.Context(identity=self.identity, rng=self.rng, policy=self.policy)
@@ -83,10 +83,10 @@
         self.ctx = ctx
         self.members = membership.Membership(ctx=ctx, seeds=self.seeds)
         self.router = routing.Router(ctx=ctx, members=self.members)
-        self.owner = shards.ShardOwner(ctx=ctx, members=self.members, table=table)
+        self.shard_owner = shards.ShardOwner(ctx=ctx, members=self.members, table=table)
         self.serving = serving.Serving(
             ctx=ctx,
-            owner=self.owner,
+            owner=self.shard_owner,
             table=table,
             correlation=known,
         )
@@ -99,30 +99,32 @@
             ctx=ctx,
             members=self.members,
             signers=self.signers,
-            needed=self.signatures_needed,
+            signatures_needed=self.signatures_needed,
         )
 
     def start(self, now: float) -> list[effects.Effect]:
         """Return the effects that a start brings."""
-        self._last = now
+        self._last_event = now
         self.members.start(now)
         self.rollout.start(now)
-        self.owner.start(now)
+        self.shard_owner.start(now)
         self.serving.start(now)
-        self.ctx.schedule(now + HEARTBEAT_S, HeartbeatTimer())
-        return self._collect(now)
+        self.ctx.schedule(now + HEARTBEAT_INTERVAL_S, HeartbeatTimer())
+        return self._run_due_timers(now)
 
-    def accept(self, now: float, verified: signing.Verified) -> list[effects.Effect]:
+    def activate_bundle(
+        self, now: float, verified: signing.Verified
+    ) -> list[effects.Effect]:
         """Put a verified bundle in force, where none comes by the platform."""
         self.ctx.active = context.make_active_bundle(verified)
-        self.rollout.changed = True
-        return self._collect(now)
+        self.rollout.bundle_changed = True
+        return self._run_due_timers(now)
 
     def handle(self, now: float, event: events.Event) -> list[effects.Effect]:
         """Return the effects that an event brings, and those of due timers."""
-        self._notice_pause(now)
+        self._detect_pause(now)
         self._on_event(now, event)
-        return self._collect(now)
+        return self._run_due_timers(now)
 
     def next_wake(self) -> float | None:
         """Return the time of the next timer, or `None`."""
@@ -133,30 +135,30 @@
         """Return whether this daemon can serve: it has a bundle and isn't leaving."""
         return self.ctx.active is not None and not self.ctx.leaving
 
-    def _notice_pause(self, now: float) -> None:
+    def _detect_pause(self, now: float) -> None:
         """Note that the process stood still, so messages are older than they seem."""
-        gap = now - self._last
-        self._last = now
-        if gap > PAUSE_S:
-            self._paused_s = gap
-            self._suspect_until = now + SUSPECT_S
+        gap = now - self._last_event
+        self._last_event = now
+        if gap > MIN_PAUSE_S:
+            self._pause_s = gap
+            self._pause_effect_until = now + PAUSE_EFFECT_S
             self.ctx.count("pauses", "loop")
 
-    def _collect(self, now: float) -> list[effects.Effect]:
-        self._settle(now)
+    def _run_due_timers(self, now: float) -> list[effects.Effect]:
+        self._process_pending(now)
         while (timer := self.ctx.pop_due_timer(now)) is not None:
             self._on_timer(now, timer)
-            self._settle(now)
+            self._process_pending(now)
         out, self.ctx.pending_effects = self.ctx.pending_effects, []
         return out
 
-    def _settle(self, now: float) -> None:
+    def _process_pending(self, now: float) -> None:
         """Work off the messages to itself and a bundle that came in force."""
-        if self.rollout.changed:
-            self.rollout.changed = False
+        if self.rollout.bundle_changed:
+            self.rollout.bundle_changed = False
             self.serving.target.apply_bundle(now)
-            self.owner.apply_bundle(now)
-            self.forwarder.retrying.budgets.clear()
+            self.shard_owner.apply_bundle(now)
+            self.forwarder.retry_policy.budgets.clear()
         while self.ctx.loopback_messages:
             self._on_message(
                 now, self._own_envelope(now), self.ctx.loopback_messages.popleft()
@@ -167,25 +169,25 @@
             case events.PeerReceived(received=received):
                 self._on_peer(now, received)
             case events.CallReceived():
-                self.forwarder.received(now, event)
+                self.forwarder.handle_call(now, event)
             case events.TargetHead():
                 self.serving.runs.handle_head(now, event)
             case events.Wake():
                 pass
             case events.PartPassed(conn=conn):
-                self.forwarder.part_passed(conn)
+                self.forwarder.request_next_part(conn)
             case events.TargetPart():
                 self.serving.runs.handle_part(now, event)
             case events.TargetFailed():
                 self.serving.runs.handle_failure(now, event)
             case events.CallerGone(conn=conn):
-                self.forwarder.gone(now, conn)
+                self.forwarder.handle_caller_gone(now, conn)
             case events.PeerBlocked(box=box, message=message):
                 self.ctx.count("peer_blocked", type(message).__name__)
-                self.forwarder.blocked(now, box, message)
+                self.forwarder.handle_unsent(now, box, message)
             case events.PeerLost(address=address):
                 self.ctx.count("links", "lost")
-                self.forwarder.lost(now, address)
+                self.forwarder.handle_lost_link(now, address)
             case events.PlatformAnswered(request=request, result=result):
                 self._on_platform(now, request, result)
             case events.StopAsked():
@@ -193,17 +195,17 @@
 
     def _on_peer(self, now: float, received: codec.Received) -> None:
         envelope = received.envelope
-        delay = self.members.received(now, envelope)
-        if now < self._suspect_until:
-            delay = max(delay, self._paused_s)
-        self.router.received(now, envelope.box)
-        self.rollout.received(now, envelope)
+        delay = self.members.message_received(now, envelope)
+        if now < self._pause_effect_until:
+            delay = max(delay, self._pause_s)
+        self.router.message_received(now, envelope.box)
+        self.rollout.message_received(now, envelope)
         if envelope.receiver not in (0, self.identity.incarnation):
-            self._misaddressed(envelope, received.message)
+            self._refuse_misaddressed(envelope, received.message)
             return
         self._on_message(now, envelope, received.message, delay)
 
-    def _misaddressed(
+    def _refuse_misaddressed(
         self, envelope: messages.Envelope, message: messages.Message
     ) -> None:
         """Refuse what was meant for an earlier process of this box."""
@@ -228,19 +230,19 @@
     ) -> None:
         match message:
             case messages.Forward():
-                self.serving.handle_forward(now, sender_of(envelope), message, delay)
+                self.serving.handle_forward(now, sender_from(envelope), message, delay)
             case messages.Answer():
-                self.forwarder.answered(now, envelope, message)
+                self.forwarder.handle_answer(now, envelope, message)
             case messages.Refused():
-                self.forwarder.rejected(now, envelope, message)
+                self.forwarder.handle_refusal(now, envelope, message)
             case messages.Uncertain():
-                self.forwarder.uncertain(now, envelope, message)
+                self.forwarder.handle_uncertain(now, envelope, message)
             case messages.Cancel(attempt=attempt):
-                self.serving.handle_cancel(now, sender_of(envelope), attempt)
+                self.serving.handle_cancel(now, sender_from(envelope), attempt)
             case messages.Part():
                 self.forwarder.streaming.handle_part(now, envelope, message)
             case messages.Credit():
-                self.serving.handle_credit(now, sender_of(envelope), message)
+                self.serving.handle_credit(now, sender_from(envelope), message)
             case messages.Broken():
                 self.forwarder.streaming.handle_broken(now, envelope, message)
             case _:
@@ -251,39 +253,39 @@
     ) -> None:
         match message:
             case messages.Hello(member=member):
-                self.members.hello(now, message)
-                self.owner.check_claims(now, member)
+                self.members.handle_hello(now, message)
+                self.shard_owner.check_claims(now, member)
             case messages.Digest():
-                self.members.digest(now, envelope, message)
+                self.members.handle_digest(now, envelope, message)
             case messages.Members(members=members):
-                self.members.take_all(now, message)
+                self.members.handle_members(now, message)
                 for known in members:
-                    self.owner.check_claims(now, known.member)
+                    self.shard_owner.check_claims(now, known.member)
             case messages.ListedLeaving(box=box, incarnation=incarnation):
                 self.members.mark_listed_leaving(box, incarnation)
             case messages.BundleAsk():
-                self.rollout.asked(envelope.box)
+                self.rollout.send_bundle(envelope.box)
             case messages.BundleGive(raw=raw):
-                self.rollout.offered(now, raw, envelope.box)
+                self.rollout.offer(now, raw, envelope.box)
             case messages.ShardHand():
-                self.owner.handle_table_part(now, envelope.box, message)
+                self.shard_owner.handle_table_part(now, envelope.box, message)
             case messages.ShardTaken():
-                self.owner.handle_table_confirmed(now, envelope.box, message)
+                self.shard_owner.handle_table_confirmed(now, envelope.box, message)
             case messages.ShardYours():
-                self.owner.handle_ownership_notice(now, message)
+                self.shard_owner.handle_ownership_notice(now, message)
 
     def _on_platform(self, now: float, request: Any, result: Any) -> None:
-        if self.rollout.answered(now, request, result):
+        if self.rollout.handle_platform_result(now, request, result):
             return
-        if not self.owner.handle_result(now, request, result):
+        if not self.shard_owner.handle_result(now, request, result):
             self.ctx.count("platform_faults", "unasked")
 
     def _on_timer(self, now: float, timer: Any) -> None:
         match timer:
             case attempts.AttemptTimer(attempt=attempt):
-                self.forwarder.attempt_over(now, attempt)
+                self.forwarder.check_attempt(now, attempt)
             case forwarding.DeadlineTimer(call=call):
-                self.forwarder.deadline_over(now, call)
+                self.forwarder.handle_deadline(now, call)
             case forwarding.RetryTimer(call=call):
                 self.forwarder.retry(now, call)
             case streaming.StreamStallTimer(call=call):
@@ -293,40 +295,44 @@
             case runs.StallTimer(dispatch=dispatch):
                 self.serving.runs.check_stall(now, dispatch)
             case membership.DigestTimer():
-                self.members.tick(now)
+                self.members.run_digest_round(now)
             case shards.LeaseTimer():
-                self.owner.renew(now)
+                self.shard_owner.renew(now)
             case shards.RebalanceTimer():
-                self.owner.rebalance(now)
+                self.shard_owner.rebalance(now)
             case rollout.WatchTimer():
                 self.rollout.watch(now)
-            case rollout.FirstTimer():
-                self.rollout.trust_platform(now)
-            case rollout.BoxesTimer():
-                self.rollout.read_boxes(now)
+            case rollout.PeerWaitTimer():
+                self.rollout.end_peer_wait(now)
+            case rollout.BoxListTimer():
+                self.rollout.read_box_list(now)
             case HeartbeatTimer():
-                self.ctx.schedule(now + HEARTBEAT_S, HeartbeatTimer())
+                self.ctx.schedule(now + HEARTBEAT_INTERVAL_S, HeartbeatTimer())
             case LeaveTimer():
-                self._check_left(now)
+                self._stop_if_idle(now)
 
     def _leave(self, now: float, event: events.StopAsked) -> None:
         """Announce it to all peers, take no new work, and end when all is done."""
-        self._ending |= event.end
+        self._stop_when_idle |= event.end
         if not self.ctx.leaving:
             self.ctx.leaving = True
             self.ctx.audit("leaving", event.reason)
-            self.members.change_own(now, state=messages.State.LEAVING)
+            self.members.update_own_record(now, state=messages.State.LEAVING)
             for peer in self.members.peers.values():
                 self.members.send(peer, messages.Hello(member=self.members.own))
-        self.ctx.schedule(now + LEAVE_CHECK_S, LeaveTimer())
+        self.ctx.schedule(now + LEAVE_CHECK_INTERVAL_S, LeaveTimer())
 
-    def _check_left(self, now: float) -> None:
-        done = self.forwarder.idle and self.serving.idle and self.owner.can_leave(now)
+    def _stop_if_idle(self, now: float) -> None:
+        done = (
+            self.forwarder.idle
+            and self.serving.idle
+            and self.shard_owner.can_leave(now)
+        )
         if not done:
-            self.ctx.schedule(now + LEAVE_CHECK_S, LeaveTimer())
+            self.ctx.schedule(now + LEAVE_CHECK_INTERVAL_S, LeaveTimer())
             return
-        if self._ending and not self._ended:
-            self._ended = True
+        if self._stop_when_idle and not self._stopped:
+            self._stopped = True
             self.ctx.audit(
                 "left", "nothing in flight, no shard that another could take"
             )
@@ -347,7 +353,7 @@
         )
 
 
-def sender_of(envelope: messages.Envelope) -> jobs.Sender:
+def sender_from(envelope: messages.Envelope) -> jobs.Sender:
     """Return the daemon that sent a message."""
     return jobs.Sender(
         box=envelope.box, incarnation=envelope.incarnation, address=envelope.address
--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -1,6 +1,6 @@
 """The callers' side: sends each call to a box, tries again, and answers.
 
-`intake` makes a call of a request, `attempts` sends it, `retrying` decides what
+`intake` makes a call of a request, `attempts` sends it, `retry_policy` decides what
 follows an attempt that brought no answer, and `streaming` passes long answers on.
 This module carries those decisions out and sends the callers' replies.
 """
@@ -17,15 +17,15 @@
     events,
     intake,
     retry_after,
-    retrying,
+    retry_policy,
     routing,
     streaming,
 )
 from ferrydeck.signed.wire import messages
 
-TIMER_SLACK_S = 1e-6
+TIMER_TOLERANCE_S = 1e-6
 """How much too early a timer may come by rounding, seconds."""
-SHED_REASONS = frozenset(
+OVERLOAD_REASONS = frozenset(
     {
         messages.Reason.SHED_EARLY,
         messages.Reason.OVERLOAD,
@@ -58,16 +58,16 @@
     router: routing.Router
     intake: intake.Intake
     attempts: attempts.Attempts = attrs.field(init=False)
-    retrying: retrying.Retrying = attrs.field(init=False)
+    retry_policy: retry_policy.RetryPolicy = attrs.field(init=False)
     streaming: streaming.Streaming = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         self.attempts = attempts.Attempts(
             ctx=self.ctx, router=self.router, intake=self.intake
         )
-        self.retrying = retrying.Retrying(ctx=self.ctx, router=self.router)
+        self.retry_policy = retry_policy.RetryPolicy(ctx=self.ctx, router=self.router)
         self.streaming = streaming.Streaming(
-            ctx=self.ctx, attempts=self.attempts, retrying=self.retrying
+            ctx=self.ctx, attempts=self.attempts, retry_policy=self.retry_policy
         )
 
     @property
@@ -75,9 +75,9 @@
         """Return whether no caller waits."""
         return not self.attempts.by_conn
 
-    def received(self, now: float, event: events.CallReceived) -> None:
+    def handle_call(self, now: float, event: events.CallReceived) -> None:
         """Take a request of a caller."""
-        made = self.intake.make(now, event)
+        made = self.intake.make_call(now, event)
         if isinstance(made, intake.Rejected):
             self._reject(event.conn, made)
             return
@@ -85,53 +85,55 @@
             self._reject_leaving(event.conn, made)
             return
         self.attempts.add(made)
-        self.retrying.count_fresh(made.service)
+        self.retry_policy.record_call(made.service)
         self.ctx.schedule(made.deadline, DeadlineTimer(call=made.number))
-        self._try(now, made)
+        self._start_attempt(now, made)
 
-    def answered(
+    def handle_answer(
         self, now: float, envelope: messages.Envelope, message: messages.Answer
     ) -> None:
         """Pass the answer of an attempt on to the caller."""
-        call = self.attempts.end(now, envelope, message, keep=True)
+        call = self.attempts.match_reply(now, envelope, message, keep=True)
         if call is None:
             return
         call.allowance.refund(message.unused)
-        if message.replayed and call.resent and call.attempts == 1:
+        if message.replayed and call.charged_as_retry and call.attempts == 1:
             # This sending cost one, and was answered from memory.
             call.allowance.refund(1)
         if call.stream is not None:
             self.streaming.handle_resumed(now, call, message)
             return
-        self.ctx.emit(calls.answer(call, envelope.box, message))
+        self.ctx.emit(calls.target_response(call, envelope.box, message))
         if len(message.body) < message.total:
             self.streaming.start(now, call, message)
             return
         self.attempts.finish(now, call, effects.Outcome.DONE, "", message.status)
 
-    def rejected(
+    def handle_refusal(
         self, now: float, envelope: messages.Envelope, message: messages.Refused
     ) -> None:
         """Act on an attempt that has not run and will not."""
-        call = self.attempts.end(now, envelope, message)
+        call = self.attempts.match_reply(now, envelope, message)
         if call is None:
             return
         call.allowance.refund(message.unused)
         self._after_rejection(now, call, envelope.box, message)
 
-    def uncertain(
+    def handle_uncertain(
         self, now: float, envelope: messages.Envelope, message: messages.Uncertain
     ) -> None:
         """Act on an attempt that may have run."""
-        call = self.attempts.end(now, envelope, message)
+        call = self.attempts.match_reply(now, envelope, message)
         if call is None:
             return
         call.may_have_run = True
-        call.tried.append(envelope.box)
-        decision = self.retrying.after_uncertain(now, call)
-        self._act(now, call, decision, message.reason, message.retry_after_ms)
+        call.tried_boxes.append(envelope.box)
+        decision = self.retry_policy.after_uncertain(now, call)
+        self._apply_decision(
+            now, call, decision, message.reason, message.retry_after_ms
+        )
 
-    def part_passed(self, conn: int) -> None:
+    def request_next_part(self, conn: int) -> None:
         """Have the next part sent, since the caller took one."""
         call = self.attempts.by_conn.get(conn)
         if call is None or call.attempt is None:
@@ -139,15 +141,15 @@
         credit = messages.Credit(attempt=call.attempt.number)
         self.attempts.send(call.attempt, credit)
 
-    def blocked(self, now: float, box: str, message: messages.Message) -> None:
+    def handle_unsent(self, now: float, box: str, message: messages.Message) -> None:
         """Act on a message that was not sent."""
         if not isinstance(message, messages.Forward):
             return
-        self.router.blocked(now, box)
+        self.router.link_failed(now, box)
         call = self.attempts.by_attempt.get(message.attempt)
         if call is None:
             return
-        self.attempts.drop(call)
+        self.attempts.abandon(call)
         call.allowance.refund(message.allowance)
         rejected = messages.Refused(
             attempt=message.attempt,
@@ -158,7 +160,7 @@
         )
         self._after_rejection(now, call, box, rejected)
 
-    def lost(self, now: float, address: str) -> None:
+    def handle_lost_link(self, now: float, address: str) -> None:
         """Act on a lost connection: its attempts may have run, no answer will come."""
         hit = [
             call
@@ -166,13 +168,13 @@
             if call.attempt is not None and call.attempt.address == address
         ]
         for call in hit:
-            self.router.blocked(now, call.attempt.box)
+            self.router.link_failed(now, call.attempt.box)
             if call.stream is not None:
                 self.streaming.resume_elsewhere(now, call)
                 continue
-            self._lost_attempt(now, call)
+            self._after_lost_link(now, call)
 
-    def gone(self, now: float, conn: int) -> None:
+    def handle_caller_gone(self, now: float, conn: int) -> None:
         """Drop the call of a caller that went away."""
         call = self.attempts.by_conn.get(conn)
         if call is None:
@@ -181,25 +183,25 @@
         self.ctx.count("callers_gone", call.route.class_name)
         self.attempts.forget(call)
 
-    def attempt_over(self, now: float, attempt: int) -> None:
+    def check_attempt(self, now: float, attempt: int) -> None:
         """Try elsewhere if the box is silent; cancel at the end of the time."""
         call = self.attempts.by_attempt.get(attempt)
         if call is None or call.stream is not None or call.cancelling:
             return
-        if now >= call.cancel_at - TIMER_SLACK_S:
+        if now >= call.cancel_at - TIMER_TOLERANCE_S:
             call.cancelling = True
             self.attempts.send(call.attempt, messages.Cancel(attempt=attempt))
             return
-        if self.retrying.leaves_silent_box(now, call):
+        if self.retry_policy.leaves_unresponsive_box(now, call):
             call.may_have_run = True
-            call.tried.append(call.attempt.box)
+            call.tried_boxes.append(call.attempt.box)
             self.attempts.cancel(call)
-            self._try(now, call)
+            self._start_attempt(now, call)
             return
         timer = attempts.AttemptTimer(attempt=attempt)
-        self.ctx.schedule(self.attempts.next_look(now, call), timer)
+        self.ctx.schedule(self.attempts.next_check(now, call), timer)
 
-    def deadline_over(self, now: float, number: int) -> None:
+    def handle_deadline(self, now: float, number: int) -> None:
         """Answer a caller whose time is over."""
         call = self.attempts.by_number.get(number)
         if call is None or call.stream is not None:
@@ -213,22 +215,22 @@
         """Try a call again whose pause is over."""
         call = self.attempts.by_number.get(number)
         if call is not None and call.attempt is None:
-            self._try(now, call)
+            self._start_attempt(now, call)
 
-    def _try(self, now: float, call: calls.Call) -> None:
+    def _start_attempt(self, now: float, call: calls.Call) -> None:
         """Send the call to a box, or give it up where there is none."""
-        if call.remaining(now) <= 0:
-            self._no_attempt(now, call, messages.Reason.EXPIRED)
+        if call.remaining_s(now) <= 0:
+            self._give_up_unsent(now, call, messages.Reason.EXPIRED)
             return
         match self.attempts.choose(now, call):
             case routing.Chosen(peer=peer):
-                self.attempts.begin(now, call, peer)
+                self.attempts.start(now, call, peer)
             case routing.Shed():
-                self._no_attempt(now, call, messages.Reason.SHED_EARLY)
+                self._give_up_unsent(now, call, messages.Reason.SHED_EARLY)
             case routing.NoBox():
-                self._no_attempt(now, call, messages.Reason.NO_BOX)
+                self._give_up_unsent(now, call, messages.Reason.NO_BOX)
 
-    def _no_attempt(
+    def _give_up_unsent(
         self, now: float, call: calls.Call, reason: messages.Reason
     ) -> None:
         """Give up a call of which nothing was sent this time.
@@ -244,35 +246,37 @@
         if call.stream is not None:
             self.streaming.resume_elsewhere(now, call)
             return
-        if message.reason not in retrying.OWNER_CHANGES:
-            call.tried.append(box)
+        if message.reason not in retry_policy.OWNER_CHANGE_REASONS:
+            call.tried_boxes.append(box)
         call.owner_hint = message.owner
-        decision = self.retrying.after_rejection(now, call, box, message.reason)
-        self._act(now, call, decision, message.reason, message.retry_after_ms)
+        decision = self.retry_policy.after_rejection(now, call, box, message.reason)
+        self._apply_decision(
+            now, call, decision, message.reason, message.retry_after_ms
+        )
 
-    def _lost_attempt(self, now: float, call: calls.Call) -> None:
+    def _after_lost_link(self, now: float, call: calls.Call) -> None:
         box = call.attempt.box
-        self.attempts.drop(call)
+        self.attempts.abandon(call)
         call.may_have_run = True
-        call.tried.append(box)
-        decision = self.retrying.after_lost_link(now, call)
-        self._act(now, call, decision, messages.Reason.BOX_LOST)
+        call.tried_boxes.append(box)
+        decision = self.retry_policy.after_lost_link(now, call)
+        self._apply_decision(now, call, decision, messages.Reason.BOX_LOST)
 
-    def _act(
+    def _apply_decision(
         self,
         now: float,
         call: calls.Call,
-        decision: retrying.Retry | retrying.GiveUp,
+        decision: retry_policy.Retry | retry_policy.GiveUp,
         reason: messages.Reason,
         retry_after_ms: int | None = None,
     ) -> None:
         """Try again or give up, as decided; without a time to return, draw one."""
         match decision:
-            case retrying.Retry(pause_s=0.0):
-                self._try(now, call)
-            case retrying.Retry(pause_s=pause_s):
-                self.ctx.schedule(now + pause_s, RetryTimer(call=call.number))
-            case retrying.GiveUp(may_have_run=may_have_run):
+            case retry_policy.Retry(delay_s=0.0):
+                self._start_attempt(now, call)
+            case retry_policy.Retry(delay_s=delay_s):
+                self.ctx.schedule(now + delay_s, RetryTimer(call=call.number))
+            case retry_policy.GiveUp(may_have_run=may_have_run):
                 call.may_have_run |= may_have_run
                 if retry_after_ms is None:
                     retry_after_ms = self._retry_after_ms()
@@ -289,30 +293,30 @@
         outcome = effects.Outcome.NOT_RUN
         if call.may_have_run:
             outcome = effects.Outcome.UNKNOWN
-        answer = calls.rejection(
+        answer = calls.failure_response(
             call.conn, outcome, reason, retry_after_ms, call.attempts
         )
         self.ctx.emit(answer)
-        self._shed_parent(now, call, reason)
+        self._lower_parent_level(now, call, reason)
         self.attempts.finish(now, call, outcome, reason, answer.status)
 
-    def _shed_parent(
+    def _lower_parent_level(
         self, now: float, call: calls.Call, reason: messages.Reason
     ) -> None:
         """Have the parent's route reject what would fail in this way too."""
-        if not call.parent_path or reason not in SHED_REASONS:
+        if not call.parent_path_key or reason not in OVERLOAD_REASONS:
             return
-        level = self.router.level(now, call.service, call.path_key)
+        level = self.router.admission_level(now, call.service, call.path_key)
         if level < call.priority:
             path_levels = self.intake.correlation.path_levels
-            path_levels.record_nested_refusal(now, call.parent_path, level)
+            path_levels.record_nested_refusal(now, call.parent_path_key, level)
 
     def _reject(self, conn: int, rejected: intake.Rejected) -> None:
         """Answer a request that is no call."""
         outcome = effects.Outcome.NOT_RUN
         if rejected.may_have_run:
             outcome = effects.Outcome.UNKNOWN
-        answer = calls.rejection(
+        answer = calls.failure_response(
             conn, outcome, rejected.reason, self._retry_after_ms(), 0
         )
         self.ctx.emit(answer)
--- a/ferrydeck/signed/core/intake.py
+++ b/ferrydeck/signed/core/intake.py
@@ -16,13 +16,13 @@
     hashes,
     headers,
     priority,
-    retries,
+    retry_limits,
 )
 from ferrydeck.signed.wire import messages
 
-MAX_KEY = 200
-RESENDS_KEPT = 100_000
-DEADLINE_DIGITS = 9
+MAX_KEY_LENGTH = 200
+MAX_RESEND_RECORDS = 100_000
+MAX_DEADLINE_DIGITS = 9
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -35,11 +35,11 @@
 
 
 @attrs.define(kw_only=True)
-class Resent:
+class ResendRecord:
     """A key that came in before, with the allowance that all its sendings share."""
 
-    allowance: retries.RetryAllowance
-    until: float
+    allowance: retry_limits.RetryAllowance
+    expires: float
     may_have_run: bool = False
 
 
@@ -49,11 +49,13 @@
 
     ctx: context.Context
     correlation: correlation.Correlation
-    resends: collections.OrderedDict[tuple[str, str, str], Resent] = attrs.Factory(
-        collections.OrderedDict
+    resend_records: collections.OrderedDict[tuple[str, str, str], ResendRecord] = (
+        attrs.Factory(collections.OrderedDict)
     )
 
-    def make(self, now: float, event: events.CallReceived) -> calls.Call | Rejected:
+    def make_call(
+        self, now: float, event: events.CallReceived
+    ) -> calls.Call | Rejected:
         """Return the call for a request, or why there is none."""
         if self.ctx.active is None:
             keyed = bool(headers.first_value(event.headers, headers.IDEMPOTENCY_KEY))
@@ -65,27 +67,27 @@
         if route is None:
             return Rejected(reason=messages.Reason.NO_ROUTE)
         key = headers.first_value(event.headers, headers.IDEMPOTENCY_KEY)
-        reason = fault(event, route, key)
+        reason = validate(event, route, key)
         if reason is not None:
             return Rejected(reason=reason, class_name=route.class_name)
-        parent = self._parent(event)
-        call = self._call(now, event, route, path, key, parent)
-        return self._bounded(now, call, parent)
+        parent = self._parent_run(event)
+        call = self._build_call(now, event, route, path, key, parent)
+        return self._charge_allowance(now, call, parent)
 
-    def settled(self, call: calls.Call, may_have_run: bool) -> None:
+    def record_outcome(self, call: calls.Call, may_have_run: bool) -> None:
         """Note for the resends of a key whether it may have run."""
-        resent = self.resends.get(resend_key(call)) if call.key else None
+        resent = self.resend_records.get(resend_key(call)) if call.key else None
         if resent is not None:
             resent.may_have_run |= may_have_run
 
-    def _parent(self, event: events.CallReceived) -> correlation.Run | None:
+    def _parent_run(self, event: events.CallReceived) -> correlation.Run | None:
         if not event.local:
             return None
         return self.correlation.find(
             headers.first_value(event.headers, headers.CONTEXT)
         )
 
-    def _call(
+    def _build_call(
         self,
         now: float,
         event: events.CallReceived,
@@ -94,7 +96,7 @@
         key: str,
         parent: correlation.Run | None,
     ) -> calls.Call:
-        deadline = now + deadline_s(event, route)
+        deadline = now + requested_deadline_s(event, route)
         request_id = f"{self.ctx.rng.getrandbits(64):016x}"
         rank = self.ctx.active.ranks[route.class_name]
         depth = 0
@@ -115,17 +117,17 @@
             request=event,
             path=path,
             key=key,
-            caller=caller_of(event),
+            caller=caller_digest(event),
             request_id=request_id,
             priority=priority.for_request(rank, request_id),
             depth=depth,
-            allowance=retries.RetryAllowance(remaining=allowance),
-            parent_path=parent.path_key if parent else "",
+            allowance=retry_limits.RetryAllowance(remaining=allowance),
+            parent_path_key=parent.path_key if parent else "",
             started=now,
             deadline=deadline,
         )
 
-    def _bounded(
+    def _charge_allowance(
         self, now: float, call: calls.Call, parent: correlation.Run | None
     ) -> calls.Call | Rejected:
         """Have a call that was sent before draw on the allowance of the first."""
@@ -140,47 +142,47 @@
             if parent.allowance.is_new_call(mark):
                 return call
             if parent.allowance.try_spend():
-                call.resent = True
+                call.charged_as_retry = True
                 return call
-            return self._spent(call, may_have_run=True)
+            return self._reject_spent(call, may_have_run=True)
         # The owner of a key that must not repeat starts it once however often it
         # is sent, and a caller whose outcome was unknown must be able to ask again.
         if not call.key or not call.route.repeatable:
             return call
-        return self._resent(now, call)
+        return self._charge_resend(now, call)
 
-    def _resent(self, now: float, call: calls.Call) -> calls.Call | Rejected:
-        self._forget(now)
-        resent = self.resends.get(resend_key(call))
+    def _charge_resend(self, now: float, call: calls.Call) -> calls.Call | Rejected:
+        self._evict_resend_records(now)
+        resent = self.resend_records.get(resend_key(call))
         if resent is None:
             until = now + self.ctx.active.bundle.kept_s
-            self.resends[resend_key(call)] = Resent(
-                allowance=call.allowance, until=until
+            self.resend_records[resend_key(call)] = ResendRecord(
+                allowance=call.allowance, expires=until
             )
             return call
         call.allowance = resent.allowance
         if resent.allowance.try_spend():
-            call.resent = True
+            call.charged_as_retry = True
             return call
-        return self._spent(call, may_have_run=resent.may_have_run)
+        return self._reject_spent(call, may_have_run=resent.may_have_run)
 
-    def _spent(self, call: calls.Call, *, may_have_run: bool) -> Rejected:
+    def _reject_spent(self, call: calls.Call, *, may_have_run: bool) -> Rejected:
         return Rejected(
             reason=messages.Reason.RETRIES_SPENT,
             class_name=call.route.class_name,
             may_have_run=may_have_run or not call.route.repeatable,
         )
 
-    def _forget(self, now: float) -> None:
-        while self.resends:
-            oldest = next(iter(self.resends))
-            full = len(self.resends) > RESENDS_KEPT
-            if not full and self.resends[oldest].until > now:
+    def _evict_resend_records(self, now: float) -> None:
+        while self.resend_records:
+            oldest = next(iter(self.resend_records))
+            full = len(self.resend_records) > MAX_RESEND_RECORDS
+            if not full and self.resend_records[oldest].expires > now:
                 return
-            del self.resends[oldest]
+            del self.resend_records[oldest]
 
 
-def fault(
+def validate(
     event: events.CallReceived, route: bundles.Route, key: str
 ) -> messages.Reason | None:
     """Return what is wrong with a request on a route, or `None`."""
@@ -188,24 +190,24 @@
         return messages.Reason.BODY_TOO_LARGE
     if not route.repeatable and not key:
         return messages.Reason.KEY_MISSING
-    if len(key) > MAX_KEY:
+    if len(key) > MAX_KEY_LENGTH:
         return messages.Reason.BAD_REQUEST
     named = headers.first_value(event.headers, headers.DEADLINE_MS)
     if named and not (named.isascii() and named.isdigit()):
         return messages.Reason.BAD_REQUEST
-    if len(named) > DEADLINE_DIGITS:
+    if len(named) > MAX_DEADLINE_DIGITS:
         return messages.Reason.BAD_REQUEST
     return None
 
 
-def deadline_s(event: events.CallReceived, route: bundles.Route) -> float:
+def requested_deadline_s(event: events.CallReceived, route: bundles.Route) -> float:
     """Return the time that a caller waits, seconds."""
     named = headers.first_value(event.headers, headers.DEADLINE_MS)
     wanted = int(named) if named else route.deadline_ms
     return min(wanted, route.deadline_ms) / 1000
 
 
-def caller_of(event: events.CallReceived) -> str:
+def caller_digest(event: events.CallReceived) -> str:
     """Return what distinguishes callers: a digest of their credentials."""
     credentials = headers.first_value(event.headers, headers.AUTHORIZATION)
     return hashes.hash128_hex(credentials) if credentials else ""
--- a/ferrydeck/signed/core/membership.py
+++ b/ferrydeck/signed/core/membership.py
@@ -12,17 +12,17 @@
 from ferrydeck.signed.core import context, effects, hashes
 from ferrydeck.signed.wire import messages
 
-DIGEST_EVERY_S = 1.0
-RELAY_FANOUT = 3
-CONTACT_S = 30.0
+DIGEST_INTERVAL_S = 1.0
+GOSSIP_FANOUT = 3
+MAX_CONTACT_AGE_S = 30.0
 """How long a box counts as in contact after its last message, seconds."""
-FORGET_S = 120.0
+LEAVING_PEER_TIMEOUT_S = 120.0
 """How long a leaving box that sends nothing is remembered, seconds."""
-FORGET_SILENT_S = 7200.0
+PEER_TIMEOUT_S = 7200.0
 """How long any box that sends nothing to anyone is remembered, seconds."""
-WATCHERS = 3
+WATCHERS_PER_DATA_CENTRE = 3
 """Boxes a data centre that watch the platform for all of it."""
-HELLO_EVERY_S = 1.0
+HELLO_INTERVAL_S = 1.0
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -35,18 +35,20 @@
     """A box as this daemon sees it."""
 
     member: messages.Member
-    known: bool
+    has_record: bool
     """Whether the record comes from the box itself, not the platform's list."""
     last_message: float
     listed_leaving: bool = False
-    hello_sent: float = -1e9
-    delay_floor: float = float("inf")
+    last_hello: float = -1e9
+    min_clock_difference: float = float("inf")
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_work(self) -> bool:
         """Return whether new work may be sent there."""
         state = self.member.state
-        return self.known and state is messages.State.LIVE and not self.listed_leaving
+        return (
+            self.has_record and state is messages.State.LIVE and not self.listed_leaving
+        )
 
 
 @attrs.define(kw_only=True)
@@ -59,8 +61,8 @@
     own: messages.Member = attrs.field(init=False)
     version: int = 0
     """Rises whenever the table changes, for caches made from it."""
-    _listed: dict[str, str] = attrs.Factory(dict)
-    _list_read: bool = False
+    _listed_states: dict[str, str] = attrs.Factory(dict)
+    _list_received: bool = False
 
     def __attrs_post_init__(self) -> None:
         identity = self.ctx.identity
@@ -80,18 +82,24 @@
         """Introduce this daemon to the boxes in its settings."""
         for address in self.seeds:
             if address != self.own.address:
-                self._send_to(address, messages.Hello(member=self.own, relay=True))
-        self.ctx.schedule(now + DIGEST_EVERY_S * self.ctx.rng.random(), DigestTimer())
+                self._send_to_address(
+                    address, messages.Hello(member=self.own, relay=True)
+                )
+        self.ctx.schedule(
+            now + DIGEST_INTERVAL_S * self.ctx.rng.random(), DigestTimer()
+        )
 
-    def change_own(self, now: float, **changes: object) -> None:
+    def update_own_record(self, now: float, **changes: object) -> None:
         """Change this daemon's own record and send it out."""
         self.own = attrs.evolve(self.own, sequence=self.own.sequence + 1, **changes)
         self.version += 1
         news = messages.Hello(member=self.own, relay=True)
         recent = [
-            peer for peer in self.peers.values() if now - peer.last_message < CONTACT_S
+            peer
+            for peer in self.peers.values()
+            if now - peer.last_message < MAX_CONTACT_AGE_S
         ]
-        for peer in recent or self._sample(RELAY_FANOUT):
+        for peer in recent or self._sample(GOSSIP_FANOUT):
             self.send(peer, news)
 
     def send(self, peer: Peer, message: messages.Message) -> None:
@@ -99,7 +107,7 @@
         member = peer.member
         self.ctx.send(member.box, member.address, member.incarnation, message)
 
-    def received(self, now: float, envelope: messages.Envelope) -> float:
+    def message_received(self, now: float, envelope: messages.Envelope) -> float:
         """Note a message of a peer; return how long it was held up, seconds.
 
         The clocks of two boxes have nothing in common, so the shortest
@@ -107,60 +115,62 @@
         """
         peer = self.peers.get(envelope.box)
         if peer is None or envelope.incarnation > peer.member.incarnation:
-            self._introduce(now, envelope)
+            self._add_unknown_peer(now, envelope)
             return 0.0
         if envelope.incarnation < peer.member.incarnation:
             return 0.0
         peer.last_message = now
-        if not peer.known and now - peer.hello_sent > HELLO_EVERY_S:
-            peer.hello_sent = now
+        if not peer.has_record and now - peer.last_hello > HELLO_INTERVAL_S:
+            peer.last_hello = now
             self.send(peer, messages.Hello(member=self.own))
         difference = now - envelope.sent
-        peer.delay_floor = min(peer.delay_floor, difference)
-        return difference - peer.delay_floor
+        peer.min_clock_difference = min(peer.min_clock_difference, difference)
+        return difference - peer.min_clock_difference
 
-    def hello(self, now: float, news: messages.Hello) -> None:
+    def handle_hello(self, now: float, news: messages.Hello) -> None:
         """Take in a record; pass it on where it is news."""
-        if not self._take(now, news.member, 0.0) or not news.relay:
+        if not self._merge_record(now, news.member, 0.0) or not news.relay:
             return
-        for peer in self._sample(RELAY_FANOUT):
+        for peer in self._sample(GOSSIP_FANOUT):
             if peer.member.box != news.member.box:
                 self.send(peer, news)
 
-    def digest(
+    def handle_digest(
         self, now: float, envelope: messages.Envelope, summary: messages.Digest
     ) -> None:
         """Compare a summary with this table; send the table where they differ."""
         peer = self.peers.get(envelope.box)
-        if peer is None or summary.members == self.summary():
+        if peer is None or summary.members == self.checksum():
             return
-        self.send(peer, messages.Members(members=self._told_records(now)))
+        self.send(peer, messages.Members(members=self._records_with_silence(now)))
         if not summary.answer_wanted:
             return
-        self.send(peer, messages.Digest(members=self.summary()))
+        self.send(peer, messages.Digest(members=self.checksum()))
 
-    def take_all(self, now: float, received: messages.Members) -> None:
+    def handle_members(self, now: float, received: messages.Members) -> None:
         """Take in a table of records."""
         for one in received.members:
-            if one.silent_s < FORGET_SILENT_S:
-                self._take(now, one.member, one.silent_s)
+            if one.silent_s < PEER_TIMEOUT_S:
+                self._merge_record(now, one.member, one.silent_s)
             if one.listed_leaving:
                 member = one.member
                 self.mark_listed_leaving(member.box, member.incarnation)
 
-    def listed(self, now: float, boxes: tuple[object, ...]) -> list[messages.Member]:
+    def update_box_list(
+        self, now: float, boxes: tuple[object, ...]
+    ) -> list[messages.Member]:
         """Take in the platform's list; return the boxes newly listed as leaving.
 
         The list lags, so only a change to leaving that was seen here counts: a
         box that has started anew may be listed as leaving for some time yet.
         """
         leaving = []
-        first, self._list_read = not self._list_read, True
+        first, self._list_received = not self._list_received, True
         for entry in boxes:
-            before = self._listed.get(entry.box)
-            self._listed[entry.box] = entry.state
+            before = self._listed_states.get(entry.box)
+            self._listed_states[entry.box] = entry.state
             if entry.box not in self.peers and entry.box != self.own.box:
-                self._send_to(entry.address, messages.Hello(member=self.own))
+                self._send_to_address(entry.address, messages.Hello(member=self.own))
             turned = before != entry.state == messages.State.LEAVING
             if turned and not first and entry.box in self.peers:
                 leaving.append(self.peers[entry.box].member)
@@ -178,27 +188,27 @@
         peer.listed_leaving = True
         self.version += 1
 
-    def tick(self, now: float) -> None:
+    def run_digest_round(self, now: float) -> None:
         """Compare notes with one random box, and forget those long gone."""
         self.ctx.schedule(
-            now + DIGEST_EVERY_S * (0.5 + self.ctx.rng.random()), DigestTimer()
+            now + DIGEST_INTERVAL_S * (0.5 + self.ctx.rng.random()), DigestTimer()
         )
         for peer in self._sample(1):
-            summary = messages.Digest(members=self.summary(), answer_wanted=True)
+            summary = messages.Digest(members=self.checksum(), answer_wanted=True)
             self.send(peer, summary)
         if not self.peers:
-            self._ask_seed()
-        for box in self._gone(now):
+            self._contact_seed()
+        for box in self._expired_peers(now):
             del self.peers[box]
             self.version += 1
             self.ctx.emit(effects.ForgetPeer(box=box))
 
     def records(self) -> tuple[messages.Member, ...]:
         """Return all records that come from their boxes."""
-        known = [peer.member for peer in self.peers.values() if peer.known]
+        known = [peer.member for peer in self.peers.values() if peer.has_record]
         return (self.own, *known)
 
-    def _told_records(self, now: float) -> tuple[messages.KnownMember, ...]:
+    def _records_with_silence(self, now: float) -> tuple[messages.KnownMember, ...]:
         """Return the records with the time since the last messages of their boxes."""
         known = [
             messages.KnownMember(
@@ -207,11 +217,11 @@
                 listed_leaving=peer.listed_leaving,
             )
             for peer in self.peers.values()
-            if peer.known
+            if peer.has_record
         ]
         return (messages.KnownMember(member=self.own, silent_s=0.0), *known)
 
-    def summary(self) -> int:
+    def checksum(self) -> int:
         """Return a number that is the same for the same table."""
         total = 0
         for member in self.records():
@@ -225,16 +235,16 @@
         names += [
             box
             for box, peer in self.peers.items()
-            if peer.member.data_centre == self.own.data_centre and peer.takes_work
+            if peer.member.data_centre == self.own.data_centre and peer.accepts_work
         ]
         names.sort(key=hashes.hash64)
-        return self.own.box in names[:WATCHERS]
+        return self.own.box in names[:WATCHERS_PER_DATA_CENTRE]
 
     def sample(self, count: int) -> list[Peer]:
         """Return up to `count` random peers."""
         return self._sample(count)
 
-    def _introduce(self, now: float, envelope: messages.Envelope) -> None:
+    def _add_unknown_peer(self, now: float, envelope: messages.Envelope) -> None:
         """Make a record of a box known by its message alone."""
         before = self.peers.get(envelope.box)
         member = messages.Member(
@@ -248,14 +258,16 @@
             service="",
             state=messages.State.LIVE,
         )
-        peer = Peer(member=member, known=False, last_message=now, hello_sent=now)
+        peer = Peer(member=member, has_record=False, last_message=now, last_hello=now)
         self.peers[envelope.box] = peer
         self.version += 1
         if before is not None:
             self.ctx.emit(effects.ForgetPeer(box=envelope.box))
         self.send(peer, messages.Hello(member=self.own))
 
-    def _take(self, now: float, member: messages.Member, silent_s: float) -> bool:
+    def _merge_record(
+        self, now: float, member: messages.Member, silent_s: float
+    ) -> bool:
         """Take in one record; return whether it was news."""
         if member.box == self.own.box:
             return False
@@ -263,7 +275,7 @@
         peer = self.peers.get(member.box)
         if peer is None:
             self.peers[member.box] = Peer(
-                member=member, known=True, last_message=last_message
+                member=member, has_record=True, last_message=last_message
             )
             self.version += 1
             return True
@@ -275,29 +287,29 @@
         if restarted:
             self.ctx.emit(effects.ForgetPeer(box=member.box))
             peer.listed_leaving = False
-            peer.delay_floor = float("inf")
+            peer.min_clock_difference = float("inf")
         if member.state is not peer.member.state:
             self.ctx.audit("member", f"{member.box} is {member.state}")
         peer.member = member
-        peer.known = True
+        peer.has_record = True
         self.version += 1
         return True
 
-    def _gone(self, now: float) -> list[str]:
+    def _expired_peers(self, now: float) -> list[str]:
         return [
             box
             for box, peer in self.peers.items()
             if now - peer.last_message
-            > (FORGET_SILENT_S if peer.takes_work else FORGET_S)
+            > (PEER_TIMEOUT_S if peer.accepts_work else LEAVING_PEER_TIMEOUT_S)
         ]
 
-    def _ask_seed(self) -> None:
+    def _contact_seed(self) -> None:
         others = [one for one in self.seeds if one != self.own.address]
         if others:
             address = self.ctx.rng.choice(others)
-            self._send_to(address, messages.Hello(member=self.own, relay=True))
+            self._send_to_address(address, messages.Hello(member=self.own, relay=True))
 
-    def _send_to(self, address: str, message: messages.Message) -> None:
+    def _send_to_address(self, address: str, message: messages.Message) -> None:
         """Send to a box of which only the address is known."""
         self.ctx.send(f"@{address}", address, 0, message)
 
--- a/ferrydeck/signed/core/retrying.py
+++ b/ferrydeck/signed/core/retry_policy.py
@@ -10,27 +10,29 @@
 
 import attrs
 
-from ferrydeck.signed.core import calls, context, retries, routing
+from ferrydeck.signed.core import calls, context, retry_limits, routing
 from ferrydeck.signed.wire import messages
 
-MOVE_PAUSE_S = 0.02
+MOVING_BACKOFF_S = 0.02
 """Pause before the retry of a call whose shard changes hands, seconds."""
-MOVE_GROWTH = 3
+MOVING_BACKOFF_FACTOR = 3
 """Factor by which that pause grows with each attempt."""
 
-OWNER_CHANGES = frozenset(
+OWNER_CHANGE_REASONS = frozenset(
     {messages.Reason.MOVING, messages.Reason.NOT_OWNER, messages.Reason.NO_LEASE}
 )
 """Rejections that come of a shard that changes hands: the box may be asked again."""
-UNBUDGETED = OWNER_CHANGES | {
+BUDGET_EXEMPT_REASONS = OWNER_CHANGE_REASONS | {
     messages.Reason.LEAVING,
     messages.Reason.INCARNATION,
     messages.Reason.NOT_SENT,
 }
 """Rejections that come of a change of boxes, not of load: no budget is asked."""
-NOT_RETRIED = frozenset({messages.Reason.KEY_MISMATCH, messages.Reason.RETRIES_SPENT})
+NON_RETRYABLE_REASONS = frozenset(
+    {messages.Reason.KEY_MISMATCH, messages.Reason.RETRIES_SPENT}
+)
 """Rejections that every other box would repeat."""
-BY_OWNER = frozenset(
+OWNER_REASONS = frozenset(
     {
         messages.Reason.OVERLOAD,
         messages.Reason.EXPIRED,
@@ -50,7 +52,7 @@
 class Retry:
     """Try again after `pause_s`, seconds; 0 for at once. The retry is spent."""
 
-    pause_s: float = 0.0
+    delay_s: float = 0.0
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -61,12 +63,12 @@
 
 
 @attrs.define(kw_only=True)
-class Retrying:
+class RetryPolicy:
     """Decides on retries of the calls that came in at this daemon."""
 
     ctx: context.Context
     router: routing.Router
-    budgets: dict[str, retries.RetryBudget] = attrs.Factory(dict)
+    budgets: dict[str, retry_limits.RetryBudget] = attrs.Factory(dict)
 
     def after_rejection(
         self, now: float, call: calls.Call, box: str, reason: messages.Reason
@@ -76,22 +78,22 @@
         Of a call that must not run twice, an earlier sending of the key may have
         run, unless the owner of the key itself rejects it.
         """
-        by_owner = not call.route.repeatable and reason in BY_OWNER
+        by_owner = not call.route.repeatable and reason in OWNER_REASONS
         give_up = GiveUp(may_have_run=not call.route.repeatable and not by_owner)
-        if by_owner or reason in NOT_RETRIED or call.cancelling:
+        if by_owner or reason in NON_RETRYABLE_REASONS or call.cancelling:
             return give_up
-        if not self._another_box(call):
+        if not self._has_untried_box(call):
             return give_up
-        if not self.spend(now, call, budgeted=reason not in UNBUDGETED):
+        if not self.try_spend(now, call, budgeted=reason not in BUDGET_EXEMPT_REASONS):
             return give_up
-        if reason not in OWNER_CHANGES or call.owner_hint not in ("", box):
+        if reason not in OWNER_CHANGE_REASONS or call.owner_hint not in ("", box):
             return Retry()
-        pause_s = MOVE_PAUSE_S * MOVE_GROWTH**call.attempts
-        return Retry(pause_s=min(pause_s, call.remaining(now) / 2))
+        pause_s = MOVING_BACKOFF_S * MOVING_BACKOFF_FACTOR**call.attempts
+        return Retry(delay_s=min(pause_s, call.remaining_s(now) / 2))
 
     def after_uncertain(self, now: float, call: calls.Call) -> Retry | GiveUp:
         """Decide on a call whose attempt may have run."""
-        if call.route.repeatable and self.spend(now, call):
+        if call.route.repeatable and self.try_spend(now, call):
             return Retry()
         return GiveUp(may_have_run=True)
 
@@ -99,11 +101,11 @@
         """Decide on a call whose box was lost: no answer will come."""
         if not call.route.repeatable or call.cancelling:
             return GiveUp(may_have_run=True)
-        if not self._another_box(call):
+        if not self._has_untried_box(call):
             return GiveUp(may_have_run=True)
         return self.after_uncertain(now, call)
 
-    def leaves_silent_box(self, now: float, call: calls.Call) -> bool:
+    def leaves_unresponsive_box(self, now: float, call: calls.Call) -> bool:
         """Return whether a call is tried elsewhere because its box is silent.
 
         A box that is slow but sends messages is waited for: the same work begun
@@ -111,19 +113,19 @@
         """
         if not call.route.repeatable:
             return False
-        if not self.router.silent(now, call.attempt.box):
+        if not self.router.is_unresponsive(now, call.attempt.box):
             return False
-        if not self._another_box(call, call.attempt.box):
+        if not self._has_untried_box(call, call.attempt.box):
             return False
-        return self.spend(now, call)
+        return self.try_spend(now, call)
 
-    def count_fresh(self, service: str) -> None:
+    def record_call(self, service: str) -> None:
         """Count a fresh call to a service, which earns a share of a retry."""
         self._budget(service).record_call()
 
-    def spend(self, now: float, call: calls.Call, *, budgeted: bool = True) -> bool:
+    def try_spend(self, now: float, call: calls.Call, *, budgeted: bool = True) -> bool:
         """Take one retry from what the request and the service have left."""
-        if call.remaining(now) <= 0:
+        if call.remaining_s(now) <= 0:
             return False
         if call.allowance.remaining < 1:
             self.ctx.count("retries_denied", "allowance")
@@ -134,15 +136,15 @@
             return False
         return call.allowance.try_spend()
 
-    def _another_box(self, call: calls.Call, *besides: str) -> bool:
+    def _has_untried_box(self, call: calls.Call, *besides: str) -> bool:
         """Return whether a box of the service was not tried yet."""
-        tried = {*call.tried, *besides}
+        tried = {*call.tried_boxes, *besides}
         peers = self.router.candidates(call.service)
         return any(peer.member.box not in tried for peer in peers)
 
-    def _budget(self, service: str) -> retries.RetryBudget:
+    def _budget(self, service: str) -> retry_limits.RetryBudget:
         budget = self.budgets.get(service)
         if budget is None:
             share = self.ctx.active.bundle.retry.budget
-            budget = self.budgets[service] = retries.RetryBudget(ratio=share)
+            budget = self.budgets[service] = retry_limits.RetryBudget(ratio=share)
         return budget
--- a/ferrydeck/signed/core/routing.py
+++ b/ferrydeck/signed/core/routing.py
@@ -14,21 +14,21 @@
 from ferrydeck.signed.core import context, membership, policies, priority
 from ferrydeck.signed.wire import messages
 
-LOAD_FRESH_S = 0.5
+MAX_LOAD_AGE_S = 0.5
 """How long an announced load counts, seconds; it fades over that time."""
-LEVEL_FRESH_S = 0.3
+MAX_LEVEL_AGE_S = 0.3
 """How long an announced level counts, seconds."""
-SILENT_S = 0.4
+UNRESPONSIVE_TIMEOUT_S = 0.4
 """Time without an answer or any message after which a box is avoided, seconds."""
-PROBE_EVERY_S = 1.0
+PROBE_INTERVAL_S = 1.0
 """How often an avoided box is tried with one call, seconds."""
-BLOCKED_S = 0.3
+LINK_FAILURE_BACKOFF_S = 0.3
 """How long a box is avoided whose connection took no more, seconds."""
-SPILL_SCORE = 1.4
+SPILLOVER_LOAD_RATIO = 1.4
 """Load over limit at which the own data centre no longer goes first."""
-FAR_PENALTY = 0.5
+REMOTE_PENALTY_RATIO = 0.5
 """Load over limit that a call to another data centre must save."""
-WINDOW = 512
+MAX_OUTSTANDING = 512
 """Unanswered calls towards one box at most, to bound what lies in buffers."""
 
 
@@ -37,56 +37,56 @@
     """The level of one route as announced by a target's daemon."""
 
     value: int
-    at: float
+    received_at: float
 
 
 @attrs.define(kw_only=True)
-class View:
+class BoxStats:
     """What this daemon knows of one target by the calls it sends there."""
 
     outstanding: collections.OrderedDict[int, float] = attrs.Factory(
         collections.OrderedDict
     )
     load: messages.Load | None = None
-    load_at: float = -1e9
-    load_mine: int = 0
-    waiting_since: float = float("inf")
+    load_received_at: float = -1e9
+    outstanding_at_load: int = 0
+    unanswered_since: float = float("inf")
     """When the first call was sent after the last message of the box."""
-    probed: float = -1e9
-    blocked_until: float = -1e9
+    last_probe: float = -1e9
+    avoid_until: float = -1e9
     path_levels: dict[str, PathLevel] = attrs.Factory(dict)
     incarnation: int = 0
 
-    def score(self, now: float) -> float:
+    def load_ratio(self, now: float) -> float:
         """Return the load over the limit, with what was sent since it was announced."""
         mine = len(self.outstanding)
         if self.load is None or not self.load.limit:
             return mine / 16
-        share = max(0.0, 1 - (now - self.load_at) / LOAD_FRESH_S)
-        others = max(0, self.load.running + self.load.queued - self.load_mine)
+        share = max(0.0, 1 - (now - self.load_received_at) / MAX_LOAD_AGE_S)
+        others = max(0, self.load.running + self.load.queued - self.outstanding_at_load)
         return (mine + others * share) / self.load.limit
 
-    def silent(self, now: float) -> bool:
+    def is_unresponsive(self, now: float) -> bool:
         """Return whether a call was sent there and nothing was received for some time.
 
         That stays so when the call is given up: only a message of the box ends it.
         """
-        if now < self.blocked_until:
+        if now < self.avoid_until:
             return True
         slow = 3 * self.load.service_ms / 1000 if self.load else 0.0
-        return now - self.waiting_since > SILENT_S + slow
+        return now - self.unanswered_since > UNRESPONSIVE_TIMEOUT_S + slow
 
-    def received(self, now: float) -> None:
+    def message_received(self, now: float) -> None:
         """Note a message of the box; calls still out wait from now on."""
-        self.waiting_since = now if self.outstanding else float("inf")
+        self.unanswered_since = now if self.outstanding else float("inf")
 
-    def level(self, now: float, path_key: str) -> int:
+    def admission_level(self, now: float, path_key: str) -> int:
         """Return the level that the target announced lately for a route."""
         value = priority.TOP_LEVEL
-        if self.load is not None and now - self.load_at <= LEVEL_FRESH_S:
+        if self.load is not None and now - self.load_received_at <= MAX_LEVEL_AGE_S:
             value = self.load.level
         path = self.path_levels.get(path_key)
-        if path is not None and now - path.at <= LEVEL_FRESH_S:
+        if path is not None and now - path.received_at <= MAX_LEVEL_AGE_S:
             value = min(value, path.value)
         return value
 
@@ -114,12 +114,12 @@
 
     ctx: context.Context
     members: membership.Membership
-    views: dict[str, View] = attrs.Factory(dict)
+    box_stats: dict[str, BoxStats] = attrs.Factory(dict)
     _candidates: dict[str, list[membership.Peer]] = attrs.Factory(dict)
-    _near: dict[str, list[membership.Peer]] = attrs.Factory(dict)
-    _holders: dict[str, list[membership.Peer]] = attrs.Factory(dict)
-    _version: int = -1
-    _turn: collections.Counter[str] = attrs.Factory(collections.Counter)
+    _local_candidates: dict[str, list[membership.Peer]] = attrs.Factory(dict)
+    _shard_holders: dict[str, list[membership.Peer]] = attrs.Factory(dict)
+    _members_version: int = -1
+    _round_robin_counts: collections.Counter[str] = attrs.Factory(collections.Counter)
 
     def choose(
         self,
@@ -132,15 +132,15 @@
     ) -> Chosen | Shed | NoBox:
         """Choose a box for a call of priority `number`, not one of `tried`."""
         peers = self.candidates(service)
-        near = self._near.get(service, [])
+        near = self._local_candidates.get(service, [])
         if near and not isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
             # Most calls stay in the data centre, and its boxes are few.
             found = self._choose_among(now, service, near, number, path_key, tried)
-            if isinstance(found, Chosen) and self._has_space(now, found.peer):
+            if isinstance(found, Chosen) and self._below_spillover(now, found.peer):
                 return found
         found = self._choose_among(now, service, peers, number, path_key, tried)
         if isinstance(found, NoBox):
-            return self._last_resort(now, peers, tried)
+            return self._choose_unresponsive(now, peers, tried)
         return found
 
     def _choose_among(
@@ -158,29 +158,31 @@
             return NoBox()
         if self.ctx.policy.shed_at_caller:
             open_ones = [
-                one for one in usable if number <= self.view(one).level(now, path_key)
+                one
+                for one in usable
+                if number <= self.stats_for(one).admission_level(now, path_key)
             ]
             if not open_ones:
                 return Shed()
             usable = open_ones
-        return Chosen(peer=self._pick(now, service, usable))
+        return Chosen(peer=self._select(now, service, usable))
 
     def candidates(self, service: str) -> list[membership.Peer]:
         """Return the boxes of a service that take work, this one included."""
-        if self._version != self.members.version:
-            self._version = self.members.version
+        if self._members_version != self.members.version:
+            self._members_version = self.members.version
             self._rebuild()
         return self._candidates.get(service, [])
 
-    def holders(self, service: str) -> list[membership.Peer]:
+    def shard_holders(self, service: str) -> list[membership.Peer]:
         """Return the boxes of a service that may hold shards: leaving ones too."""
         self.candidates(service)
-        return self._holders.get(service, [])
+        return self._shard_holders.get(service, [])
 
-    def owner(self, service: str, shard: int) -> membership.Peer | None:
+    def shard_owner(self, service: str, shard: int) -> membership.Peer | None:
         """Return the box that claims a shard, by the highest epoch."""
         best: tuple[int, membership.Peer] | None = None
-        for peer in self.holders(service):
+        for peer in self.shard_holders(service):
             for claim in peer.member.shards:
                 if claim.shard != shard:
                     continue
@@ -192,38 +194,38 @@
         self, service: str, shard: int, *, hint: str, tried: list[str]
     ) -> Chosen | NoBox:
         """Choose the box that owns a shard, or one that may know which does."""
-        for peer in self.holders(service):
+        for peer in self.shard_holders(service):
             if peer.member.box == hint:
                 return Chosen(peer=peer)
-        owner = self.owner(service, shard)
+        owner = self.shard_owner(service, shard)
         if owner is not None and owner.member.box not in tried:
             return Chosen(peer=owner)
         fresh = [one for one in self.candidates(service) if one.member.box not in tried]
         return Chosen(peer=self.ctx.rng.choice(fresh)) if fresh else NoBox()
 
-    def view(self, peer: membership.Peer) -> View:
+    def stats_for(self, peer: membership.Peer) -> BoxStats:
         """Return what is known of a target; a new incarnation starts afresh."""
-        view = self.views.get(peer.member.box)
+        view = self.box_stats.get(peer.member.box)
         if view is None or view.incarnation != peer.member.incarnation:
-            view = View(incarnation=peer.member.incarnation)
-            self.views[peer.member.box] = view
+            view = BoxStats(incarnation=peer.member.incarnation)
+            self.box_stats[peer.member.box] = view
         return view
 
-    def sent(self, now: float, peer: membership.Peer, attempt: int) -> None:
+    def attempt_sent(self, now: float, peer: membership.Peer, attempt: int) -> None:
         """Note an attempt that was sent."""
-        view = self.view(peer)
-        if view.silent(now):
-            view.probed = now
+        view = self.stats_for(peer)
+        if view.is_unresponsive(now):
+            view.last_probe = now
         view.outstanding[attempt] = now
-        view.waiting_since = min(view.waiting_since, now)
+        view.unanswered_since = min(view.unanswered_since, now)
 
-    def level(self, now: float, service: str, path_key: str) -> int:
+    def admission_level(self, now: float, service: str, path_key: str) -> int:
         """Return the highest level that any box of the service announced lately."""
         peers = self.candidates(service)
-        found = [self.view(one).level(now, path_key) for one in peers]
+        found = [self.stats_for(one).admission_level(now, path_key) for one in peers]
         return max(found, default=priority.TOP_LEVEL)
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         box: str,
@@ -232,68 +234,72 @@
         path_key: str,
     ) -> None:
         """Note the end of an attempt, with the load announced with it."""
-        view = self.views.get(box)
+        view = self.box_stats.get(box)
         if view is None:
             return
         view.outstanding.pop(attempt, None)
         view.load = load
         if load.path_level < priority.TOP_LEVEL:
-            view.path_levels[path_key] = PathLevel(value=load.path_level, at=now)
+            view.path_levels[path_key] = PathLevel(
+                value=load.path_level, received_at=now
+            )
         else:
             view.path_levels.pop(path_key, None)
-        view.load_at = now
-        view.received(now)
-        view.load_mine = len(view.outstanding)
+        view.load_received_at = now
+        view.message_received(now)
+        view.outstanding_at_load = len(view.outstanding)
 
-    def given_up(self, box: str, attempt: int) -> None:
+    def attempt_abandoned(self, box: str, attempt: int) -> None:
         """Note that an attempt is not waited for any more."""
-        view = self.views.get(box)
+        view = self.box_stats.get(box)
         if view is not None:
             view.outstanding.pop(attempt, None)
 
-    def silent(self, now: float, box: str) -> bool:
+    def is_unresponsive(self, now: float, box: str) -> bool:
         """Return whether calls wait at a box that sends nothing."""
-        view = self.views.get(box)
-        return view is not None and view.silent(now)
+        view = self.box_stats.get(box)
+        return view is not None and view.is_unresponsive(now)
 
-    def received(self, now: float, box: str) -> None:
+    def message_received(self, now: float, box: str) -> None:
         """Note any message of a box."""
-        view = self.views.get(box)
+        view = self.box_stats.get(box)
         if view is not None:
-            view.received(now)
+            view.message_received(now)
 
-    def blocked(self, now: float, box: str) -> None:
+    def link_failed(self, now: float, box: str) -> None:
         """Note that a box's connection took no more."""
-        view = self.views.get(box)
+        view = self.box_stats.get(box)
         if view is not None:
-            view.blocked_until = now + BLOCKED_S
+            view.avoid_until = now + LINK_FAILURE_BACKOFF_S
 
     def _rebuild(self) -> None:
         self._candidates = collections.defaultdict(list)
-        self._near = collections.defaultdict(list)
-        self._holders = collections.defaultdict(list)
-        own = membership.Peer(member=self.members.own, known=True, last_message=0.0)
+        self._local_candidates = collections.defaultdict(list)
+        self._shard_holders = collections.defaultdict(list)
+        own = membership.Peer(
+            member=self.members.own, has_record=True, last_message=0.0
+        )
         known = [own, *self.members.peers.values()]
         for peer in sorted(known, key=lambda one: one.member.box):
             service = peer.member.service
-            if service and peer.known:
-                self._holders[service].append(peer)
-            if not service or not peer.takes_work:
+            if service and peer.has_record:
+                self._shard_holders[service].append(peer)
+            if not service or not peer.accepts_work:
                 continue
             self._candidates[service].append(peer)
             if peer.member.data_centre == self.ctx.identity.data_centre:
-                self._near[service].append(peer)
+                self._local_candidates[service].append(peer)
 
     def _usable(self, now: float, peer: membership.Peer) -> bool:
-        view = self.view(peer)
-        if len(view.outstanding) >= WINDOW:
+        view = self.stats_for(peer)
+        if len(view.outstanding) >= MAX_OUTSTANDING:
             return False
-        return not view.silent(now) or now - view.probed > PROBE_EVERY_S
+        return not view.is_unresponsive(now) or now - view.last_probe > PROBE_INTERVAL_S
 
-    def _has_space(self, now: float, peer: membership.Peer) -> bool:
-        return self.view(peer).score(now) < SPILL_SCORE
+    def _below_spillover(self, now: float, peer: membership.Peer) -> bool:
+        return self.stats_for(peer).load_ratio(now) < SPILLOVER_LOAD_RATIO
 
-    def _last_resort(
+    def _choose_unresponsive(
         self, now: float, peers: list[membership.Peer], tried: list[str]
     ) -> Chosen | NoBox:
         """Take a silent box rather than none, but never past its window."""
@@ -301,52 +307,56 @@
             one
             for one in peers
             if one.member.box not in tried
-            and len(self.view(one).outstanding) < WINDOW
-            and now >= self.view(one).blocked_until
+            and len(self.stats_for(one).outstanding) < MAX_OUTSTANDING
+            and now >= self.stats_for(one).avoid_until
         ]
         if not room:
             return NoBox()
         return Chosen(peer=self.ctx.rng.choice(room))
 
-    def _pick(
+    def _select(
         self, now: float, service: str, peers: list[membership.Peer]
     ) -> membership.Peer:
         if isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
-            self._turn[service] += 1
-            return peers[self._turn[service] % len(peers)]
+            self._round_robin_counts[service] += 1
+            return peers[self._round_robin_counts[service] % len(peers)]
         centre = self.ctx.identity.data_centre
         near = [one for one in peers if one.member.data_centre == centre]
         far = [one for one in peers if one.member.data_centre != centre]
         if not near or not far:
-            return self._least(now, near or far)
-        best = self._least(now, near)
-        if self.view(best).score(now) < SPILL_SCORE:
+            return self._least_loaded(now, near or far)
+        best = self._least_loaded(now, near)
+        if self.stats_for(best).load_ratio(now) < SPILLOVER_LOAD_RATIO:
             return best
-        other = self._least(now, far)
-        far_score = self.view(other).score(now) + FAR_PENALTY
-        return other if far_score < self.view(best).score(now) else best
+        other = self._least_loaded(now, far)
+        far_score = self.stats_for(other).load_ratio(now) + REMOTE_PENALTY_RATIO
+        return other if far_score < self.stats_for(best).load_ratio(now) else best
 
-    def _least(self, now: float, peers: list[membership.Peer]) -> membership.Peer:
+    def _least_loaded(
+        self, now: float, peers: list[membership.Peer]
+    ) -> membership.Peer:
         match self.ctx.policy.box_chooser:
             case policies.LeastOfAll():
                 sampled = peers
             case policies.IdleQueue(sample_size=sample_size):
-                idle = [one for one in peers if self._idle(now, one)]
+                idle = [one for one in peers if self._is_idle(now, one)]
                 if idle:
                     return self.ctx.rng.choice(idle)
-                sampled = self._draw(peers, sample_size)
+                sampled = self._sample(peers, sample_size)
             case _:
-                sampled = self._draw(peers, 2)
-        scored = [(self.view(one).score(now), one) for one in sampled]
+                sampled = self._sample(peers, 2)
+        scored = [(self.stats_for(one).load_ratio(now), one) for one in sampled]
         return min(scored, key=lambda pair: pair[0])[1]
 
-    def _idle(self, now: float, peer: membership.Peer) -> bool:
-        view = self.view(peer)
+    def _is_idle(self, now: float, peer: membership.Peer) -> bool:
+        view = self.stats_for(peer)
         if view.load is None:
             return not view.outstanding
-        return view.score(now) * view.load.limit < view.load.limit - 1
+        return view.load_ratio(now) * view.load.limit < view.load.limit - 1
 
-    def _draw(self, peers: list[membership.Peer], count: int) -> list[membership.Peer]:
+    def _sample(
+        self, peers: list[membership.Peer], count: int
+    ) -> list[membership.Peer]:
         if len(peers) <= count:
             return peers
         return self.ctx.rng.sample(peers, count)
--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -23,7 +23,7 @@
     local_target,
     once,
     replies,
-    retries,
+    retry_limits,
     shards,
 )
 from ferrydeck.signed.wire import messages
@@ -181,7 +181,7 @@
                 priority=forward.priority,
                 depth=forward.depth,
                 expires=job.deadline,
-                allowance=retries.RetryAllowance(remaining=forward.allowance),
+                allowance=retry_limits.RetryAllowance(remaining=forward.allowance),
                 path_key=self.target.path_key(forward),
             )
         )
--- a/ferrydeck/signed/core/shards.py
+++ b/ferrydeck/signed/core/shards.py
@@ -256,7 +256,7 @@
         if self.table.has_in_flight(shard):
             return
         peer = self.members.peers.get(owned.move_to)
-        if peer is None or not peer.takes_work:
+        if peer is None or not peer.accepts_work:
             owned.move = ownership.Move.NONE
             return
         owned.transfer_id = self.ctx.rng.getrandbits(TRANSFER_ID_BITS)
@@ -380,14 +380,14 @@
             messages.ShardClaim(shard=shard, epoch=owned.epoch)
             for shard, owned in sorted(self.owned.items())
         )
-        self.members.change_own(now, shards=claims)
+        self.members.update_own_record(now, shards=claims)
 
     def _other_holders(self) -> list[str]:
         """Return the other boxes that hold a lease and accept work."""
         found = []
         for box, lease_record in self.records.lease_records.items():
             peer = self.members.peers.get(box)
-            if lease_record.fence or peer is None or not peer.takes_work:
+            if lease_record.fence or peer is None or not peer.accepts_work:
                 continue
             if peer.member.incarnation == lease_record.incarnation:
                 found.append(box)
@@ -396,7 +396,7 @@
     def _seen_recently(self, now: float) -> bool:
         """Return whether a live box of the service may still acquire a lease."""
         return any(
-            peer.takes_work
+            peer.accepts_work
             and peer.member.service == self.service
             and now - peer.last_message < RECENT_PEER_TIMEOUT_S
             for peer in self.members.peers.values()
--- a/ferrydeck/signed/core/streaming.py
+++ b/ferrydeck/signed/core/streaming.py
@@ -1,7 +1,7 @@
 """Long answers: passes their parts on, and resumes elsewhere if one breaks off.
 
 A resumed answer is a range of the same body, which the entity tag proves. Relies
-on `attempts` for the call's attempt and on `retrying` for what a resumption costs.
+on `attempts` for the call's attempt and on `retry_policy` for what a resumption costs.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     context,
     effects,
     headers,
-    retrying,
+    retry_policy,
     routing,
 )
 from ferrydeck.signed.wire import messages
@@ -38,7 +38,7 @@
 
     ctx: context.Context
     attempts: attempts.Attempts
-    retrying: retrying.Retrying
+    retry_policy: retry_policy.RetryPolicy
 
     def handle_part(
         self, now: float, envelope: messages.Envelope, message: messages.Part
@@ -47,11 +47,11 @@
         call = self._find_call(envelope, message.attempt)
         if call is None:
             return
-        if call.stream.base + message.offset != call.stream.offset:
+        if call.stream.attempt_offset + message.offset != call.stream.offset:
             self.resume_elsewhere(now, call)
             return
         call.stream.offset += len(message.data)
-        call.stream.moved_at = now
+        call.stream.last_progress = now
         self.ctx.emit(effects.PassPart(conn=call.conn, data=message.data))
         if call.stream.offset >= call.stream.total:
             self.attempts.finish(
@@ -71,7 +71,7 @@
         call = self.attempts.by_number.get(number)
         if call is None or call.stream is None:
             return
-        due = call.stream.moved_at + STREAM_STALL_TIMEOUT_S
+        due = call.stream.last_progress + STREAM_STALL_TIMEOUT_S
         if now < due:
             self.ctx.schedule(due, StreamStallTimer(call=number))
             return
@@ -84,7 +84,7 @@
             total=message.total,
             offset=len(message.body),
             etag=headers.first_value(message.headers, headers.ETAG),
-            moved_at=now,
+            last_progress=now,
         )
         self.ctx.schedule(
             now + STREAM_STALL_TIMEOUT_S, StreamStallTimer(call=call.number)
@@ -106,24 +106,24 @@
         stream = call.stream
         if call.attempt is not None:
             # A box that broke off earlier may be asked again: the body has grown.
-            call.tried = [call.attempt.box]
+            call.tried_boxes = [call.attempt.box]
             self.attempts.cancel(call)
         again = stream.etag and stream.status == 200 and call.request.method == "GET"
-        if not again or stream.resumed_at == stream.offset:
+        if not again or stream.resumed_offset == stream.offset:
             self._abort(now, call)
             return
         call.deadline = max(call.deadline, now + STREAM_STALL_TIMEOUT_S)
-        if not self.retrying.spend(now, call):
+        if not self.retry_policy.try_spend(now, call):
             self._abort(now, call)
             return
-        stream.resumed_at = stream.offset
-        stream.moved_at = now
+        stream.resumed_offset = stream.offset
+        stream.last_progress = now
         self.ctx.count("streams", "resumed")
         chosen = self.attempts.choose(now, call)
         if not isinstance(chosen, routing.Chosen):
             self._abort(now, call)
             return
-        self.attempts.begin(now, call, chosen.peer)
+        self.attempts.start(now, call, chosen.peer)
 
     def handle_resumed(
         self, now: float, call: calls.Call, message: messages.Answer
@@ -136,9 +136,9 @@
         if message.status != 206 or not same or not re.fullmatch(wanted, ranges):
             self._abort(now, call)
             return
-        stream.base = stream.offset
+        stream.attempt_offset = stream.offset
         stream.offset += len(message.body)
-        stream.moved_at = now
+        stream.last_progress = now
         self.ctx.emit(effects.PassPart(conn=call.conn, data=message.body))
         if stream.offset >= stream.total:
             self.attempts.finish(now, call, effects.Outcome.DONE, "", stream.status)
--- a/ferrydeck/signed/metrics.py
+++ b/ferrydeck/signed/metrics.py
@@ -84,9 +84,9 @@
             "shed_level": load.level if load.limit else priority.TOP_LEVEL,
             "callers_waiting": len(core.forwarder.attempts.by_conn),
             "bundle_version": core.rollout.version,
-            "shards_owned": len(core.owner.owned),
+            "shards_owned": len(core.shard_owner.owned),
             "keys_remembered": core.serving.table.count,
-            "lease_left_seconds": max(0.0, core.owner.lease.valid_until - now),
+            "lease_left_seconds": max(0.0, core.shard_owner.lease.valid_until - now),
             "leaving": int(core.ctx.leaving),
             "control_bytes_in": control.bytes_in,
             "control_bytes_out": control.bytes_out,
@@ -100,7 +100,7 @@
 
     def _set_peers(self, core: daemon_core.Core) -> None:
         known = core.members.peers.values()
-        taking = sum(peer.takes_work for peer in known)
+        taking = sum(peer.accepts_work for peer in known)
         self.peers.labels("taking-work").set(taking)
         self.peers.labels("other").set(len(known) - taking)
 
--- a/ferrydeck/signed/net/admin.py
+++ b/ferrydeck/signed/net/admin.py
@@ -54,7 +54,7 @@
     core = drv.core
     now = clock.now()
     active = core.ctx.active
-    owned = core.owner.owned
+    owned = core.shard_owner.owned
     return Status(
         box=core.identity.box,
         incarnation=core.identity.incarnation,
@@ -68,7 +68,7 @@
         jobs=len(core.serving.jobs),
         shards=tuple(sorted(owned)),
         quarantined=sum(now < one.quarantine_until for one in owned.values()),
-        lease_left_s=max(0.0, core.owner.lease.valid_until - now),
+        lease_left_s=max(0.0, core.shard_owner.lease.valid_until - now),
         peers=tuple(peer_status(peer, now) for peer in core.members.peers.values()),
     )
 
@@ -82,7 +82,7 @@
         data_centre=member.data_centre,
         service=member.service,
         state=member.state,
-        takes_work=peer.takes_work,
+        takes_work=peer.accepts_work,
         silent_s=round(now - peer.last_message, 3),
     )
 
--- a/ferrydeck/signed/net/driver.py
+++ b/ferrydeck/signed/net/driver.py
@@ -262,7 +262,7 @@
             )
             detail = (
                 f"stop limit of {self.cfg.stop_limit_s:g} s: {in_flight} requests cut, "
-                f"{len(self.core.owner.owned)} shards not handed over"
+                f"{len(self.core.shard_owner.owned)} shards not handed over"
             )
             self.trail.add("cut-off", detail)
             self.metrics.count("cut_off", "stop-limit")
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -124,7 +124,7 @@
 
 
 def key_of(made, name):
-    owned = made.boxes[name].core.owner.owned
+    owned = made.boxes[name].core.shard_owner.owned
     found = (f"key-{number}" for number in range(1000))
     return next(key for key in found if keys.shard_of(key) in owned)
 
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -207,7 +207,7 @@
 
 def keys_of(made, name, count=3):
     """Return some keys of shards that a box owns."""
-    owned = made.boxes[name].core.owner.owned
+    owned = made.boxes[name].core.shard_owner.owned
     found = (f"of-{name}-{number}" for number in range(1000))
     mine = [key for key in found if keys.shard_of(key) in owned]
     return mine[:count]
@@ -219,7 +219,7 @@
     made.faults.cut_from_platform = {"north"}
     made.faults.cut = {frozenset(("north", "south"))}
     made.run(20)
-    assert len(made.boxes["south-ledger"].core.owner.owned) == 32
+    assert len(made.boxes["south-ledger"].core.shard_owner.owned) == 32
     for key in mine:
         posting(made, "north-entry", key)
         posting(made, "south-entry", key)
@@ -255,7 +255,7 @@
         -1.0 if isinstance(message, messages.ShardTaken) else 0.0
     )
     shards = [keys.shard_of(key) for key in mine]
-    owner = made.boxes["north-ledger"].core.owner
+    owner = made.boxes["north-ledger"].core.shard_owner
     for shard in shards:
         owner.owned[shard].move = ownership.Move.DRAINING
         owner.owned[shard].move_to = "south-ledger"
@@ -265,7 +265,7 @@
         posting(made, "north-entry", key)
     made.run(0.5)
     made.kill("north-ledger")
-    successor = made.boxes["south-ledger"].core.owner
+    successor = made.boxes["south-ledger"].core.shard_owner
     run_until(made, lambda: len(successor.owned) == 32)
     for key in mine:
         posting(made, "south-entry", key)
@@ -281,12 +281,12 @@
         posting(made, "north-entry", key)
     made.run(0.2)
     made.kill("north-ledger")
-    successor = made.boxes["south-ledger"].core.owner
+    successor = made.boxes["south-ledger"].core.shard_owner
     run_until(made, lambda: len(successor.owned) == 32)
     made.restart("north-ledger")
     made.stop("south-ledger")
     run_until(made, lambda: made.boxes["south-ledger"].ended)
-    assert len(made.boxes["north-ledger"].core.owner.owned) == 32
+    assert len(made.boxes["north-ledger"].core.shard_owner.owned) == 32
     for key in mine:
         posting(made, "north-entry", key)
     made.run(1)
@@ -304,7 +304,7 @@
         posting(made, "north-entry", key)
     made.run(0.2)
     made.kill("north-ledger")
-    successor = made.boxes["south-ledger"].core.owner
+    successor = made.boxes["south-ledger"].core.shard_owner
     run_until(made, lambda: len(successor.owned) == 32)
     within = posting(made, "south-entry", mine[0])
     made.run(0.5)
--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -163,12 +163,12 @@
 def rolled_raw(mesh, raw, version):
     """Write a pointer and a bundle to the platform, past the tool's checks."""
     port = client.PlatformPort(address=mesh.control)
-    pointer = port.read(rollout.POINTER).entry
+    pointer = port.read(rollout.POINTER_KEY).entry
     port.ask(platform.Write(key=f"bundle/{version}", value=raw, expected_version=0))
     value = json.dumps({"version": version, "digest": "0" * 64})
     port.ask(
         platform.Write(
-            key=rollout.POINTER, value=value, expected_version=pointer.version
+            key=rollout.POINTER_KEY, value=value, expected_version=pointer.version
         )
     )
 
@@ -244,7 +244,7 @@
         return signing.encode(one)
 
     for version, wanted in ((3, 3), (2, 3), (5, 5), (4, 5), (1, 5)):
-        core.rollout.offered(1.0, signed(version), "peer")
+        core.rollout.offer(1.0, signed(version), "peer")
         assert core.rollout.version == wanted
 
 
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -134,7 +134,7 @@
     members = worlds.ledger_world().boxes["north-entry"].core.members
 
     def listed(**states):
-        return members.listed(
+        return members.update_box_list(
             0.0,
             tuple(
                 platform.ListedBox(
@@ -144,10 +144,10 @@
             ),
         )
 
-    members._list_read = False
+    members._list_received = False
     assert listed(north="live", south="leaving") == []
     assert [one.box for one in listed(north="leaving", south="leaving")] == [
         "north-ledger"
     ]
-    assert members.peers["south-ledger"].takes_work
-    assert not members.peers["north-ledger"].takes_work
+    assert members.peers["south-ledger"].accepts_work
+    assert not members.peers["north-ledger"].accepts_work
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -162,6 +162,6 @@
     made.run(10)
     assert made.boxes["north-ledger"].ended
     successor = made.boxes["south-ledger"]
-    assert len(successor.core.owner.owned) == 32
+    assert len(successor.core.shard_owner.owned) == 32
     details = [one.detail for one in successor.audit if one.action == "shard-owned"]
     assert not [one for one in details if "quarantine" in one]
--- a/tests/promises/test_retry_bound.py
+++ b/tests/promises/test_retry_bound.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from ferrydeck.commands import client
-from ferrydeck.signed.core import headers, policies, retries
+from ferrydeck.signed.core import headers, policies, retry_limits
 from ferrydeck.standins import sample
 from tests import worlds
 
@@ -29,7 +29,7 @@
         for _ in range(rng.randrange(4) if depth < DEPTH else 0):
             while True:
                 handed = ledger.take_child_share()
-                child = retries.RetryAllowance(remaining=handed)
+                child = retry_limits.RetryAllowance(remaining=handed)
                 if rng.random() < 0.5:
                     hop(child, depth + 1)
                 lost = rng.random() < 0.3
@@ -38,7 +38,7 @@
                     break
                 spent += 1
 
-    hop(retries.RetryAllowance(remaining=allowance), 0)
+    hop(retry_limits.RetryAllowance(remaining=allowance), 0)
     assert spent <= allowance
 
 
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -3,7 +3,13 @@
 import pytest
 
 from ferrydeck.replay import world
-from ferrydeck.signed.core import admission, levels, priority, retries, shard_records
+from ferrydeck.signed.core import (
+    admission,
+    levels,
+    priority,
+    retry_limits,
+    shard_records,
+)
 from ferrydeck.signed.wire import messages
 from tests import worlds
 
@@ -67,12 +73,12 @@
 
 
 def test_a_budget_holds_retries_to_a_share():
-    budget = retries.RetryBudget(ratio=0.1)
+    budget = retry_limits.RetryBudget(ratio=0.1)
     spent = 0
     for _ in range(1000):
         budget.record_call()
         spent += budget.try_spend()
-    assert spent == pytest.approx(100 + retries.MAX_BUDGET_TOKENS, abs=2)
+    assert spent == pytest.approx(100 + retry_limits.MAX_BUDGET_TOKENS, abs=2)
 
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5, 31, 40])
@@ -90,10 +96,10 @@
     made.use(worlds.bundle_of(worlds.LEDGER.replace("lease_s = 2", "lease_s = 3600")))
     made.add_box("first", "north", service="payments-ledger", slots=4)
     made.run(3)
-    assert len(made.boxes["first"].core.owner.owned) == 32
+    assert len(made.boxes["first"].core.shard_owner.owned) == 32
     made.add_box("second", "north", service="payments-ledger", slots=4)
     made.run(5)
-    owned = [len(box.core.owner.owned) for box in made.boxes.values()]
+    owned = [len(box.core.shard_owner.owned) for box in made.boxes.values()]
     assert owned == [16, 16]
 
 
