--- a/ferrydeck/signed/core/attempts.py
+++ b/ferrydeck/signed/core/attempts.py
@@ -55,7 +55,7 @@
             return self.router.choose(
                 now,
                 call.service,
-                number=call.priority,
+                call_priority=call.priority,
                 path_key=call.path_key,
                 tried=call.tried_boxes,
             )
--- a/ferrydeck/signed/core/membership.py
+++ b/ferrydeck/signed/core/membership.py
@@ -35,7 +35,7 @@
     """A box as this daemon sees it."""
 
     member: messages.Member
-    has_record: bool
+    confirmed: bool
     """Whether the record comes from the box itself, not the platform's list."""
     last_message: float
     listed_leaving: bool = False
@@ -47,7 +47,7 @@
         """Return whether new work may be sent there."""
         state = self.member.state
         return (
-            self.has_record and state is messages.State.LIVE and not self.listed_leaving
+            self.confirmed and state is messages.State.LIVE and not self.listed_leaving
         )
 
 
@@ -120,7 +120,7 @@
         if envelope.incarnation < peer.member.incarnation:
             return 0.0
         peer.last_message = now
-        if not peer.has_record and now - peer.last_hello > HELLO_INTERVAL_S:
+        if not peer.confirmed and now - peer.last_hello > HELLO_INTERVAL_S:
             peer.last_hello = now
             self.send(peer, messages.Hello(member=self.own))
         difference = now - envelope.sent
@@ -205,7 +205,7 @@
 
     def records(self) -> tuple[messages.Member, ...]:
         """Return all records that come from their boxes."""
-        known = [peer.member for peer in self.peers.values() if peer.has_record]
+        known = [peer.member for peer in self.peers.values() if peer.confirmed]
         return (self.own, *known)
 
     def _records_with_silence(self, now: float) -> tuple[messages.KnownMember, ...]:
@@ -217,7 +217,7 @@
                 listed_leaving=peer.listed_leaving,
             )
             for peer in self.peers.values()
-            if peer.has_record
+            if peer.confirmed
         ]
         return (messages.KnownMember(member=self.own, silent_s=0.0), *known)
 
@@ -258,7 +258,7 @@
             service="",
             state=messages.State.LIVE,
         )
-        peer = Peer(member=member, has_record=False, last_message=now, last_hello=now)
+        peer = Peer(member=member, confirmed=False, last_message=now, last_hello=now)
         self.peers[envelope.box] = peer
         self.version += 1
         if before is not None:
@@ -275,7 +275,7 @@
         peer = self.peers.get(member.box)
         if peer is None:
             self.peers[member.box] = Peer(
-                member=member, has_record=True, last_message=last_message
+                member=member, confirmed=True, last_message=last_message
             )
             self.version += 1
             return True
@@ -291,7 +291,7 @@
         if member.state is not peer.member.state:
             self.ctx.audit("member", f"{member.box} is {member.state}")
         peer.member = member
-        peer.has_record = True
+        peer.confirmed = True
         self.version += 1
         return True
 
--- a/ferrydeck/signed/core/retry_policy.py
+++ b/ferrydeck/signed/core/retry_policy.py
@@ -113,7 +113,7 @@
         """
         if not call.route.repeatable:
             return False
-        if not self.router.is_unresponsive(now, call.attempt.box):
+        if not self.router.unresponsive(now, call.attempt.box):
             return False
         if not self._has_untried_box(call, call.attempt.box):
             return False
--- a/ferrydeck/signed/core/routing.py
+++ b/ferrydeck/signed/core/routing.py
@@ -1,8 +1,7 @@
-"""The choice of box: which target's daemon a call is sent to.
+"""Load balancing: chooses the box whose target serves a call.
 
-Owns what this daemon knows of each target by the calls that it sends there: load,
-level, silence. Relies on `membership` for which boxes take work. `Router.choose`
-returns a box, or whether all would shed the call, or that there is none.
+Tracks load, admission level and responsiveness of each box from the calls sent to
+it. `membership` tells which boxes accept work.
 """
 
 from __future__ import annotations
@@ -15,34 +14,34 @@
 from ferrydeck.signed.wire import messages
 
 MAX_LOAD_AGE_S = 0.5
-"""How long an announced load counts, seconds; it fades over that time."""
+"""Age at which a load report is ignored; its weight falls linearly until then."""
 MAX_LEVEL_AGE_S = 0.3
-"""How long an announced level counts, seconds."""
+"""Age at which an announced admission level is ignored."""
 UNRESPONSIVE_TIMEOUT_S = 0.4
-"""Time without an answer or any message after which a box is avoided, seconds."""
+"""Time without any message after which a box with pending calls is avoided."""
 PROBE_INTERVAL_S = 1.0
-"""How often an avoided box is tried with one call, seconds."""
+"""Interval at which one call is sent to an unresponsive box as a probe."""
 LINK_FAILURE_BACKOFF_S = 0.3
-"""How long a box is avoided whose connection took no more, seconds."""
+"""How long a box is avoided after its connection was lost or its buffer was full."""
 SPILLOVER_LOAD_RATIO = 1.4
-"""Load over limit at which the own data centre no longer goes first."""
+"""Load ratio from which calls may spill over to other data centres."""
 REMOTE_PENALTY_RATIO = 0.5
-"""Load over limit that a call to another data centre must save."""
+"""Added to the load ratio of boxes in other data centres in a comparison."""
 MAX_OUTSTANDING = 512
-"""Unanswered calls towards one box at most, to bound what lies in buffers."""
+"""Maximum number of unanswered attempts per box, which bounds the send buffers."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class PathLevel:
-    """The level of one route as announced by a target's daemon."""
+    """The admission level that a box announced for one route."""
 
     value: int
-    received_at: float
+    time: float
 
 
 @attrs.define(kw_only=True)
 class BoxStats:
-    """What this daemon knows of one target by the calls it sends there."""
+    """Load, admission levels and responsiveness of one box."""
 
     outstanding: collections.OrderedDict[int, float] = attrs.Factory(
         collections.OrderedDict
@@ -51,66 +50,66 @@
     load_received_at: float = -1e9
     outstanding_at_load: int = 0
     unanswered_since: float = float("inf")
-    """When the first call was sent after the last message of the box."""
+    """When the first attempt was sent after the box's last message."""
     last_probe: float = -1e9
     avoid_until: float = -1e9
     path_levels: dict[str, PathLevel] = attrs.Factory(dict)
     incarnation: int = 0
 
     def load_ratio(self, now: float) -> float:
-        """Return the load over the limit, with what was sent since it was announced."""
-        mine = len(self.outstanding)
+        """Return load divided by limit, including attempts sent since the report."""
+        own = len(self.outstanding)
         if self.load is None or not self.load.limit:
-            return mine / 16
-        share = max(0.0, 1 - (now - self.load_received_at) / MAX_LOAD_AGE_S)
+            return own / 16
+        weight = max(0.0, 1 - (now - self.load_received_at) / MAX_LOAD_AGE_S)
         others = max(0, self.load.running + self.load.queued - self.outstanding_at_load)
-        return (mine + others * share) / self.load.limit
+        return (own + others * weight) / self.load.limit
 
-    def is_unresponsive(self, now: float) -> bool:
-        """Return whether a call was sent there and nothing was received for some time.
+    def unresponsive(self, now: float) -> bool:
+        """Return whether the box has sent nothing for too long since an attempt.
 
-        That stays so when the call is given up: only a message of the box ends it.
+        Abandoning the attempt does not reset this; only a message from the box does.
         """
         if now < self.avoid_until:
             return True
-        slow = 3 * self.load.service_ms / 1000 if self.load else 0.0
-        return now - self.unanswered_since > UNRESPONSIVE_TIMEOUT_S + slow
+        margin_s = 3 * self.load.service_ms / 1000 if self.load else 0.0
+        return now - self.unanswered_since > UNRESPONSIVE_TIMEOUT_S + margin_s
 
     def message_received(self, now: float) -> None:
-        """Note a message of the box; calls still out wait from now on."""
+        """Restart the response timeout of outstanding attempts."""
         self.unanswered_since = now if self.outstanding else float("inf")
 
-    def admission_level(self, now: float, path_key: str) -> int:
-        """Return the level that the target announced lately for a route."""
+    def level(self, now: float, path_key: str) -> int:
+        """Return the admission level in effect for a route."""
         value = priority.TOP_LEVEL
         if self.load is not None and now - self.load_received_at <= MAX_LEVEL_AGE_S:
             value = self.load.level
-        path = self.path_levels.get(path_key)
-        if path is not None and now - path.received_at <= MAX_LEVEL_AGE_S:
-            value = min(value, path.value)
+        route = self.path_levels.get(path_key)
+        if route is not None and now - route.time <= MAX_LEVEL_AGE_S:
+            value = min(value, route.value)
         return value
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Chosen:
-    """The box to send to."""
+    """The box to send the attempt to."""
 
     peer: membership.Peer
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Shed:
-    """Every box asked would refuse the call now."""
+    """Every available box announced an admission level that refuses the call."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class NoBox:
-    """No box of the service takes work."""
+    """No box of the service is available."""
 
 
 @attrs.define(kw_only=True)
 class Router:
-    """Chooses among the boxes of a service."""
+    """Chooses the box for each attempt among the boxes of a service."""
 
     ctx: context.Context
     members: membership.Membership
@@ -126,61 +125,59 @@
         now: float,
         service: str,
         *,
-        number: int,
+        call_priority: int,
         path_key: str,
         tried: list[str],
     ) -> Chosen | Shed | NoBox:
-        """Choose a box for a call of priority `number`, not one of `tried`."""
+        """Choose a box that is not in `tried`."""
         peers = self.candidates(service)
-        near = self._local_candidates.get(service, [])
-        if near and not isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
-            # Most calls stay in the data centre, and its boxes are few.
-            found = self._choose_among(now, service, near, number, path_key, tried)
+        local = self._local_candidates.get(service, [])
+        if local and not isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
+            # Avoids scanning the remote boxes in the common case.
+            found = self._balance(now, service, local, call_priority, path_key, tried)
             if isinstance(found, Chosen) and self._below_spillover(now, found.peer):
                 return found
-        found = self._choose_among(now, service, peers, number, path_key, tried)
+        found = self._balance(now, service, peers, call_priority, path_key, tried)
         if isinstance(found, NoBox):
             return self._choose_unresponsive(now, peers, tried)
         return found
 
-    def _choose_among(
+    def _balance(
         self,
         now: float,
         service: str,
         peers: list[membership.Peer],
-        number: int,
+        call_priority: int,
         path_key: str,
         tried: list[str],
     ) -> Chosen | Shed | NoBox:
-        peers = [one for one in peers if one.member.box not in tried]
-        usable = [one for one in peers if self._usable(now, one)]
+        peers = [peer for peer in peers if peer.member.box not in tried]
+        usable = [peer for peer in peers if self._usable(now, peer)]
         if not usable:
             return NoBox()
         if self.ctx.policy.shed_at_caller:
-            open_ones = [
-                one
-                for one in usable
-                if number <= self.stats_for(one).admission_level(now, path_key)
+            admitting = [
+                p for p in usable if call_priority <= self.stats(p).level(now, path_key)
             ]
-            if not open_ones:
+            if not admitting:
                 return Shed()
-            usable = open_ones
+            usable = admitting
         return Chosen(peer=self._select(now, service, usable))
 
     def candidates(self, service: str) -> list[membership.Peer]:
-        """Return the boxes of a service that take work, this one included."""
+        """Return the boxes of a service that accept work, including this box."""
         if self._members_version != self.members.version:
             self._members_version = self.members.version
             self._rebuild()
         return self._candidates.get(service, [])
 
     def shard_holders(self, service: str) -> list[membership.Peer]:
-        """Return the boxes of a service that may hold shards: leaving ones too."""
+        """Return the boxes of a service that may own shards, including leaving ones."""
         self.candidates(service)
         return self._shard_holders.get(service, [])
 
     def shard_owner(self, service: str, shard: int) -> membership.Peer | None:
-        """Return the box that claims a shard, by the highest epoch."""
+        """Return the box that claims a shard with the highest epoch."""
         best: tuple[int, membership.Peer] | None = None
         for peer in self.shard_holders(service):
             for claim in peer.member.shards:
@@ -193,37 +190,37 @@
     def choose_owner(
         self, service: str, shard: int, *, hint: str, tried: list[str]
     ) -> Chosen | NoBox:
-        """Choose the box that owns a shard, or one that may know which does."""
+        """Choose the owner of a shard, or a random box that may redirect the call."""
         for peer in self.shard_holders(service):
             if peer.member.box == hint:
                 return Chosen(peer=peer)
         owner = self.shard_owner(service, shard)
         if owner is not None and owner.member.box not in tried:
             return Chosen(peer=owner)
-        fresh = [one for one in self.candidates(service) if one.member.box not in tried]
-        return Chosen(peer=self.ctx.rng.choice(fresh)) if fresh else NoBox()
+        others = [p for p in self.candidates(service) if p.member.box not in tried]
+        return Chosen(peer=self.ctx.rng.choice(others)) if others else NoBox()
 
-    def stats_for(self, peer: membership.Peer) -> BoxStats:
-        """Return what is known of a target; a new incarnation starts afresh."""
-        view = self.box_stats.get(peer.member.box)
-        if view is None or view.incarnation != peer.member.incarnation:
-            view = BoxStats(incarnation=peer.member.incarnation)
-            self.box_stats[peer.member.box] = view
-        return view
+    def stats(self, peer: membership.Peer) -> BoxStats:
+        """Return the stats of a box, which are reset on a new incarnation."""
+        stats = self.box_stats.get(peer.member.box)
+        if stats is None or stats.incarnation != peer.member.incarnation:
+            stats = BoxStats(incarnation=peer.member.incarnation)
+            self.box_stats[peer.member.box] = stats
+        return stats
 
     def attempt_sent(self, now: float, peer: membership.Peer, attempt: int) -> None:
-        """Note an attempt that was sent."""
-        view = self.stats_for(peer)
-        if view.is_unresponsive(now):
-            view.last_probe = now
-        view.outstanding[attempt] = now
-        view.unanswered_since = min(view.unanswered_since, now)
+        """Record an attempt as outstanding."""
+        stats = self.stats(peer)
+        if stats.unresponsive(now):
+            stats.last_probe = now
+        stats.outstanding[attempt] = now
+        stats.unanswered_since = min(stats.unanswered_since, now)
 
     def admission_level(self, now: float, service: str, path_key: str) -> int:
-        """Return the highest level that any box of the service announced lately."""
+        """Return the highest admission level among the boxes of a service."""
         peers = self.candidates(service)
-        found = [self.stats_for(one).admission_level(now, path_key) for one in peers]
-        return max(found, default=priority.TOP_LEVEL)
+        levels = [self.stats(peer).level(now, path_key) for peer in peers]
+        return max(levels, default=priority.TOP_LEVEL)
 
     def attempt_ended(
         self,
@@ -233,56 +230,52 @@
         load: messages.Load,
         path_key: str,
     ) -> None:
-        """Note the end of an attempt, with the load announced with it."""
-        view = self.box_stats.get(box)
-        if view is None:
+        """Record the end of an attempt and the load report in its reply."""
+        stats = self.box_stats.get(box)
+        if stats is None:
             return
-        view.outstanding.pop(attempt, None)
-        view.load = load
+        stats.outstanding.pop(attempt, None)
+        stats.load = load
         if load.path_level < priority.TOP_LEVEL:
-            view.path_levels[path_key] = PathLevel(
-                value=load.path_level, received_at=now
-            )
+            stats.path_levels[path_key] = PathLevel(value=load.path_level, time=now)
         else:
-            view.path_levels.pop(path_key, None)
-        view.load_received_at = now
-        view.message_received(now)
-        view.outstanding_at_load = len(view.outstanding)
+            stats.path_levels.pop(path_key, None)
+        stats.load_received_at = now
+        stats.message_received(now)
+        stats.outstanding_at_load = len(stats.outstanding)
 
     def attempt_abandoned(self, box: str, attempt: int) -> None:
-        """Note that an attempt is not waited for any more."""
-        view = self.box_stats.get(box)
-        if view is not None:
-            view.outstanding.pop(attempt, None)
+        """Remove an attempt whose reply is no longer expected."""
+        stats = self.box_stats.get(box)
+        if stats is not None:
+            stats.outstanding.pop(attempt, None)
 
-    def is_unresponsive(self, now: float, box: str) -> bool:
-        """Return whether calls wait at a box that sends nothing."""
-        view = self.box_stats.get(box)
-        return view is not None and view.is_unresponsive(now)
+    def unresponsive(self, now: float, box: str) -> bool:
+        """Return whether a box leaves attempts unanswered and sends nothing."""
+        stats = self.box_stats.get(box)
+        return stats is not None and stats.unresponsive(now)
 
     def message_received(self, now: float, box: str) -> None:
-        """Note any message of a box."""
-        view = self.box_stats.get(box)
-        if view is not None:
-            view.message_received(now)
+        """Record that a box sent a message."""
+        stats = self.box_stats.get(box)
+        if stats is not None:
+            stats.message_received(now)
 
     def link_failed(self, now: float, box: str) -> None:
-        """Note that a box's connection took no more."""
-        view = self.box_stats.get(box)
-        if view is not None:
-            view.avoid_until = now + LINK_FAILURE_BACKOFF_S
+        """Avoid a box whose connection was lost or whose send buffer is full."""
+        stats = self.box_stats.get(box)
+        if stats is not None:
+            stats.avoid_until = now + LINK_FAILURE_BACKOFF_S
 
     def _rebuild(self) -> None:
         self._candidates = collections.defaultdict(list)
         self._local_candidates = collections.defaultdict(list)
         self._shard_holders = collections.defaultdict(list)
-        own = membership.Peer(
-            member=self.members.own, has_record=True, last_message=0.0
-        )
+        own = membership.Peer(member=self.members.own, confirmed=True, last_message=0.0)
         known = [own, *self.members.peers.values()]
-        for peer in sorted(known, key=lambda one: one.member.box):
+        for peer in sorted(known, key=lambda peer: peer.member.box):
             service = peer.member.service
-            if service and peer.has_record:
+            if service and peer.confirmed:
                 self._shard_holders[service].append(peer)
             if not service or not peer.accepts_work:
                 continue
@@ -291,28 +284,28 @@
                 self._local_candidates[service].append(peer)
 
     def _usable(self, now: float, peer: membership.Peer) -> bool:
-        view = self.stats_for(peer)
-        if len(view.outstanding) >= MAX_OUTSTANDING:
+        stats = self.stats(peer)
+        if len(stats.outstanding) >= MAX_OUTSTANDING:
             return False
-        return not view.is_unresponsive(now) or now - view.last_probe > PROBE_INTERVAL_S
+        return not stats.unresponsive(now) or now - stats.last_probe > PROBE_INTERVAL_S
 
     def _below_spillover(self, now: float, peer: membership.Peer) -> bool:
-        return self.stats_for(peer).load_ratio(now) < SPILLOVER_LOAD_RATIO
+        return self.stats(peer).load_ratio(now) < SPILLOVER_LOAD_RATIO
 
     def _choose_unresponsive(
         self, now: float, peers: list[membership.Peer], tried: list[str]
     ) -> Chosen | NoBox:
-        """Take a silent box rather than none, but never past its window."""
-        room = [
-            one
-            for one in peers
-            if one.member.box not in tried
-            and len(self.stats_for(one).outstanding) < MAX_OUTSTANDING
-            and now >= self.stats_for(one).avoid_until
+        """Fall back to a random unresponsive box below its outstanding limit."""
+        available = [
+            peer
+            for peer in peers
+            if peer.member.box not in tried
+            and len(self.stats(peer).outstanding) < MAX_OUTSTANDING
+            and now >= self.stats(peer).avoid_until
         ]
-        if not room:
+        if not available:
             return NoBox()
-        return Chosen(peer=self.ctx.rng.choice(room))
+        return Chosen(peer=self.ctx.rng.choice(available))
 
     def _select(
         self, now: float, service: str, peers: list[membership.Peer]
@@ -320,43 +313,39 @@
         if isinstance(self.ctx.policy.box_chooser, policies.RoundRobin):
             self._round_robin_counts[service] += 1
             return peers[self._round_robin_counts[service] % len(peers)]
-        centre = self.ctx.identity.data_centre
-        near = [one for one in peers if one.member.data_centre == centre]
-        far = [one for one in peers if one.member.data_centre != centre]
-        if not near or not far:
-            return self._least_loaded(now, near or far)
-        best = self._least_loaded(now, near)
-        if self.stats_for(best).load_ratio(now) < SPILLOVER_LOAD_RATIO:
+        data_centre = self.ctx.identity.data_centre
+        local = [peer for peer in peers if peer.member.data_centre == data_centre]
+        remote = [peer for peer in peers if peer.member.data_centre != data_centre]
+        if not local or not remote:
+            return self._least_busy(now, local or remote)
+        best = self._least_busy(now, local)
+        if self.stats(best).load_ratio(now) < SPILLOVER_LOAD_RATIO:
             return best
-        other = self._least_loaded(now, far)
-        far_score = self.stats_for(other).load_ratio(now) + REMOTE_PENALTY_RATIO
-        return other if far_score < self.stats_for(best).load_ratio(now) else best
+        other = self._least_busy(now, remote)
+        remote_ratio = self.stats(other).load_ratio(now) + REMOTE_PENALTY_RATIO
+        return other if remote_ratio < self.stats(best).load_ratio(now) else best
 
-    def _least_loaded(
-        self, now: float, peers: list[membership.Peer]
-    ) -> membership.Peer:
+    def _least_busy(self, now: float, peers: list[membership.Peer]) -> membership.Peer:
         match self.ctx.policy.box_chooser:
             case policies.LeastOfAll():
                 sampled = peers
             case policies.IdleQueue(sample_size=sample_size):
-                idle = [one for one in peers if self._is_idle(now, one)]
+                idle = [peer for peer in peers if self._is_idle(now, peer)]
                 if idle:
                     return self.ctx.rng.choice(idle)
-                sampled = self._sample(peers, sample_size)
+                sampled = self._draw(peers, sample_size)
             case _:
-                sampled = self._sample(peers, 2)
-        scored = [(self.stats_for(one).load_ratio(now), one) for one in sampled]
+                sampled = self._draw(peers, 2)
+        scored = [(self.stats(peer).load_ratio(now), peer) for peer in sampled]
         return min(scored, key=lambda pair: pair[0])[1]
 
     def _is_idle(self, now: float, peer: membership.Peer) -> bool:
-        view = self.stats_for(peer)
-        if view.load is None:
-            return not view.outstanding
-        return view.load_ratio(now) * view.load.limit < view.load.limit - 1
-
-    def _sample(
-        self, peers: list[membership.Peer], count: int
-    ) -> list[membership.Peer]:
+        stats = self.stats(peer)
+        if stats.load is None:
+            return not stats.outstanding
+        return stats.load_ratio(now) * stats.load.limit < stats.load.limit - 1
+
+    def _draw(self, peers: list[membership.Peer], count: int) -> list[membership.Peer]:
         if len(peers) <= count:
             return peers
         return self.ctx.rng.sample(peers, count)
