--- a/ferrydeck/replay/targets.py
+++ b/ferrydeck/replay/targets.py
@@ -87,7 +87,7 @@
     def _start(self, work: Work) -> None:
         work.running = True
         self.running += 1
-        key = headers.first_value(work.dispatch.headers, headers.IDEMPOTENCY_KEY)
+        key = headers.get(work.dispatch.headers, headers.IDEMPOTENCY_KEY)
         effect = Effect(key=key, path=work.dispatch.path, at=self.env.now)
         self.log.append(effect)
         seconds = work.seconds * self.slowdown
@@ -102,7 +102,7 @@
             return
         path = urllib.parse.unquote(work.nested[0])
         work.tries += 1
-        token = headers.first_value(work.dispatch.headers, headers.CONTEXT)
+        token = headers.get(work.dispatch.headers, headers.CONTEXT)
         self.call(path, token, lambda answer: self._nested_answered(work, answer))
 
     def _nested_answered(self, work: Work, answer: effects.AnswerCaller) -> None:
@@ -120,7 +120,7 @@
         if work.ended:
             return
         self._end(work)
-        key = headers.first_value(work.dispatch.headers, headers.IDEMPOTENCY_KEY)
+        key = headers.get(work.dispatch.headers, headers.IDEMPOTENCY_KEY)
         body = f"{work.dispatch.path} {key}".encode()
         self.feed(
             events.TargetHead(
--- a/ferrydeck/signed/core/attempts.py
+++ b/ferrydeck/signed/core/attempts.py
@@ -1,8 +1,7 @@
-"""The callers' calls in hand, and their attempts at the boxes that serve them.
+"""The calls in progress and their attempts.
 
-Owns the tables of calls by connection, number and attempt. Relies on `routing` for
-the choice of box, which it keeps informed of each attempt's beginning and end, and
-on `intake`, which remembers of a key whether it may have run.
+Keeps calls by connection, number and attempt. Reports the start and end of each
+attempt to `routing`, and the outcome of each call to `intake`.
 """
 
 from __future__ import annotations
@@ -21,19 +20,19 @@
 from ferrydeck.signed.wire import messages
 
 CHECK_INTERVAL_S = 0.25
-"""How often an attempt that takes long is looked at, seconds."""
+"""Interval of the checks whether an attempt's box is unresponsive."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class AttemptTimer:
-    """Time to look at an attempt that was not answered."""
+    """An unanswered attempt is due for a check."""
 
     attempt: int
 
 
 @attrs.define(kw_only=True)
 class Attempts:
-    """Begins and ends attempts, and ends the calls that they belong to."""
+    """Starts and ends attempts and finishes calls."""
 
     ctx: context.Context
     router: routing.Router
@@ -43,7 +42,7 @@
     by_attempt: dict[int, calls.Call] = attrs.Factory(dict)
 
     def add(self, call: calls.Call) -> None:
-        """Take a call in hand."""
+        """Add a new call."""
         self.by_conn[call.conn] = call
         self.by_number[call.number] = call
 
@@ -68,7 +67,7 @@
         )
 
     def start(self, now: float, call: calls.Call, peer: membership.Peer) -> None:
-        """Send an attempt to a box."""
+        """Start an attempt at a box."""
         number = self.ctx.next_number()
         member = peer.member
         call.attempts += 1
@@ -77,11 +76,11 @@
             box=member.box,
             incarnation=member.incarnation,
             address=member.call_address,
-            allowance=self._allowance_for_attempt(call),
+            allowance=self._take_allowance(call),
         )
         self.by_attempt[number] = call
         self.router.attempt_sent(now, peer, number)
-        remaining = call.remaining_s(now)
+        remaining_s = call.remaining_s(now)
         self.ctx.schedule(self.next_check(now, call), AttemptTimer(attempt=number))
         forward = messages.Forward(
             attempt=number,
@@ -94,7 +93,7 @@
             priority=call.priority,
             depth=call.depth,
             allowance=call.attempt.allowance,
-            remaining_ms=remaining * 1000,
+            remaining_ms=remaining_s * 1000,
             age_ms=(now - call.started) * 1000,
             once=not call.route.repeatable,
             key=call.key,
@@ -103,7 +102,7 @@
         self.send(call.attempt, forward)
 
     def next_check(self, now: float, call: calls.Call) -> float:
-        """Return when to look at an attempt again."""
+        """Return when to check an attempt again."""
         if not call.route.repeatable:
             return call.cancel_at
         return min(call.cancel_at, now + CHECK_INTERVAL_S)
@@ -116,9 +115,9 @@
         *,
         keep: bool = False,
     ) -> calls.Call | None:
-        """Return the call that a reply belongs to, if it still waits for it.
+        """End an attempt and return its call, or `None` for a late reply.
 
-        With `keep`, the attempt stays in hand while parts of its answer are due.
+        With `keep`, the attempt stays open while parts of its answer are outstanding.
         """
         call = self.by_attempt.get(message.attempt)
         attempt = call.attempt if call is not None else None
@@ -138,13 +137,13 @@
         return call
 
     def abandon(self, call: calls.Call) -> None:
-        """Wait no longer for the attempt in hand, which its box can't answer."""
+        """End the current attempt without a reply."""
         self.by_attempt.pop(call.attempt.number, None)
         self.router.attempt_abandoned(call.attempt.box, call.attempt.number)
         call.attempt = None
 
     def cancel(self, call: calls.Call) -> None:
-        """Give up the attempt in hand; what it was handed counts as spent."""
+        """Cancel the current attempt; the allowance passed with it counts as spent."""
         attempt = call.attempt
         if attempt is None:
             return
@@ -153,7 +152,7 @@
             self.send(attempt, messages.Cancel(attempt=attempt.number))
 
     def send(self, attempt: calls.Attempt, message: messages.Message) -> None:
-        """Send a message to the daemon that an attempt was sent to."""
+        """Send a message to the box of an attempt."""
         self.ctx.send(attempt.box, attempt.address, attempt.incarnation, message)
 
     def finish(
@@ -164,7 +163,7 @@
         reason: str,
         status: int,
     ) -> None:
-        """End a call whose answer is out, and count it."""
+        """Remove a call that was answered and report its outcome."""
         if outcome is not effects.Outcome.NOT_RUN:
             self.intake.record_outcome(call, True)
         self.forget(call)
@@ -181,15 +180,15 @@
         )
 
     def forget(self, call: calls.Call) -> None:
-        """Remove a call and its attempt from the tables."""
+        """Remove a call and its current attempt."""
         self.by_conn.pop(call.conn, None)
         self.by_number.pop(call.number, None)
         if call.attempt is not None:
             self.by_attempt.pop(call.attempt.number, None)
             self.router.attempt_abandoned(call.attempt.box, call.attempt.number)
 
-    def _allowance_for_attempt(self, call: calls.Call) -> int:
-        """Return the part of the call's allowance that goes with an attempt."""
+    def _take_allowance(self, call: calls.Call) -> int:
+        """Take the share of the call's allowance that is passed with an attempt."""
         if not self.ctx.policy.share_retry_allowance:
             return self.ctx.active.bundle.retry.allowance
         return call.allowance.take_child_share()
--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -1,8 +1,8 @@
-"""The callers' side: sends each call to a box, tries again, and answers.
+"""The caller side: forwards calls to boxes, retries them and answers the callers.
 
-`intake` makes a call of a request, `attempts` sends it, `retry_policy` decides what
-follows an attempt that brought no answer, and `streaming` passes long answers on.
-This module carries those decisions out and sends the callers' replies.
+`intake` turns requests into calls, `attempts` sends them, `retry_policy` decides
+about retries and `streaming` relays long response bodies. This module applies their
+decisions.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from ferrydeck.signed.wire import messages
 
 TIMER_TOLERANCE_S = 1e-6
-"""How much too early a timer may come by rounding, seconds."""
+"""How early a timer may fire because of rounding, in seconds."""
 OVERLOAD_REASONS = frozenset(
     {
         messages.Reason.SHED_EARLY,
@@ -33,26 +33,26 @@
         messages.Reason.NO_BOX,
     }
 )
-"""Reasons of load, by which requests on the parent's route would fail too."""
+"""Reasons that other requests on the parent's route would fail with too."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class DeadlineTimer:
-    """The caller has waited as long as it wanted."""
+    """The deadline of a call has passed."""
 
     call: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class RetryTimer:
-    """Time to try a call again."""
+    """The delay before a retry has passed."""
 
     call: int
 
 
 @attrs.define(kw_only=True)
 class Forwarder:
-    """Carries the calls that come in at this daemon to the boxes that serve them."""
+    """Forwards the calls received by this daemon to the boxes that serve them."""
 
     ctx: context.Context
     router: routing.Router
@@ -72,33 +72,33 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no caller waits."""
+        """Whether no calls are in progress."""
         return not self.attempts.by_conn
 
     def handle_call(self, now: float, event: events.CallReceived) -> None:
-        """Take a request of a caller."""
-        made = self.intake.make_call(now, event)
-        if isinstance(made, intake.Rejected):
-            self._reject(event.conn, made)
+        """Accept or reject a caller's request."""
+        call = self.intake.admit(now, event)
+        if isinstance(call, intake.Rejected):
+            self._reject(event.conn, call)
             return
         if self.ctx.leaving and not event.local:
-            self._reject_leaving(event.conn, made)
+            self._reject_leaving(event.conn, call)
             return
-        self.attempts.add(made)
-        self.retry_policy.record_call(made.service)
-        self.ctx.schedule(made.deadline, DeadlineTimer(call=made.number))
-        self._start_attempt(now, made)
+        self.attempts.add(call)
+        self.retry_policy.record_call(call.service)
+        self.ctx.schedule(call.deadline, DeadlineTimer(call=call.number))
+        self._start_attempt(now, call)
 
     def handle_answer(
         self, now: float, envelope: messages.Envelope, message: messages.Answer
     ) -> None:
-        """Pass the answer of an attempt on to the caller."""
+        """Return the answer to an attempt to the caller."""
         call = self.attempts.match_reply(now, envelope, message, keep=True)
         if call is None:
             return
         call.allowance.refund(message.unused)
         if message.replayed and call.charged_as_retry and call.attempts == 1:
-            # This sending cost one, and was answered from memory.
+            # The resend was charged as a retry but did not run again.
             call.allowance.refund(1)
         if call.stream is not None:
             self.streaming.handle_resumed(now, call, message)
@@ -112,7 +112,7 @@
     def handle_refusal(
         self, now: float, envelope: messages.Envelope, message: messages.Refused
     ) -> None:
-        """Act on an attempt that has not run and will not."""
+        """Retry or give up after an attempt that has not run and never will."""
         call = self.attempts.match_reply(now, envelope, message)
         if call is None:
             return
@@ -122,19 +122,17 @@
     def handle_uncertain(
         self, now: float, envelope: messages.Envelope, message: messages.Uncertain
     ) -> None:
-        """Act on an attempt that may have run."""
+        """Retry or give up after an attempt that may have run."""
         call = self.attempts.match_reply(now, envelope, message)
         if call is None:
             return
         call.may_have_run = True
         call.tried_boxes.append(envelope.box)
         decision = self.retry_policy.after_uncertain(now, call)
-        self._apply_decision(
-            now, call, decision, message.reason, message.retry_after_ms
-        )
+        self._apply(now, call, decision, message.reason, message.retry_after_ms)
 
     def request_next_part(self, conn: int) -> None:
-        """Have the next part sent, since the caller took one."""
+        """Grant credit for the next part after one was sent to the caller."""
         call = self.attempts.by_conn.get(conn)
         if call is None or call.attempt is None:
             return
@@ -142,7 +140,7 @@
         self.attempts.send(call.attempt, credit)
 
     def handle_unsent(self, now: float, box: str, message: messages.Message) -> None:
-        """Act on a message that was not sent."""
+        """Retry or give up after an attempt that could not be sent."""
         if not isinstance(message, messages.Forward):
             return
         self.router.link_failed(now, box)
@@ -161,13 +159,13 @@
         self._after_rejection(now, call, box, rejected)
 
     def handle_lost_link(self, now: float, address: str) -> None:
-        """Act on a lost connection: its attempts may have run, no answer will come."""
-        hit = [
+        """Fail the attempts on a lost connection, which may have run."""
+        affected = [
             call
             for call in self.attempts.by_attempt.values()
             if call.attempt is not None and call.attempt.address == address
         ]
-        for call in hit:
+        for call in affected:
             self.router.link_failed(now, call.attempt.box)
             if call.stream is not None:
                 self.streaming.resume_elsewhere(now, call)
@@ -175,7 +173,7 @@
             self._after_lost_link(now, call)
 
     def handle_caller_gone(self, now: float, conn: int) -> None:
-        """Drop the call of a caller that went away."""
+        """Cancel the call of a caller that disconnected."""
         call = self.attempts.by_conn.get(conn)
         if call is None:
             return
@@ -184,7 +182,7 @@
         self.attempts.forget(call)
 
     def check_attempt(self, now: float, attempt: int) -> None:
-        """Try elsewhere if the box is silent; cancel at the end of the time."""
+        """Cancel an overdue attempt, or retry elsewhere if its box is unresponsive."""
         call = self.attempts.by_attempt.get(attempt)
         if call is None or call.stream is not None or call.cancelling:
             return
@@ -202,7 +200,7 @@
         self.ctx.schedule(self.attempts.next_check(now, call), timer)
 
     def handle_deadline(self, now: float, number: int) -> None:
-        """Answer a caller whose time is over."""
+        """Answer a caller whose deadline has passed."""
         call = self.attempts.by_number.get(number)
         if call is None or call.stream is not None:
             return
@@ -212,13 +210,13 @@
         self._give_up(now, call, messages.Reason.NO_ANSWER, self._retry_after_ms())
 
     def retry(self, now: float, number: int) -> None:
-        """Try a call again whose pause is over."""
+        """Start the next attempt after the retry delay."""
         call = self.attempts.by_number.get(number)
         if call is not None and call.attempt is None:
             self._start_attempt(now, call)
 
     def _start_attempt(self, now: float, call: calls.Call) -> None:
-        """Send the call to a box, or give it up where there is none."""
+        """Send the call to a box, or give up if none is available."""
         if call.remaining_s(now) <= 0:
             self._give_up_unsent(now, call, messages.Reason.EXPIRED)
             return
@@ -233,9 +231,9 @@
     def _give_up_unsent(
         self, now: float, call: calls.Call, reason: messages.Reason
     ) -> None:
-        """Give up a call of which nothing was sent this time.
+        """Give up a call before an attempt is sent.
 
-        An earlier sending of a key that must not run twice may have run.
+        An earlier request with the key of a non-repeatable call may have run.
         """
         call.may_have_run |= not call.route.repeatable
         self._give_up(now, call, reason, self._retry_after_ms())
@@ -250,9 +248,7 @@
             call.tried_boxes.append(box)
         call.owner_hint = message.owner
         decision = self.retry_policy.after_rejection(now, call, box, message.reason)
-        self._apply_decision(
-            now, call, decision, message.reason, message.retry_after_ms
-        )
+        self._apply(now, call, decision, message.reason, message.retry_after_ms)
 
     def _after_lost_link(self, now: float, call: calls.Call) -> None:
         box = call.attempt.box
@@ -260,9 +256,9 @@
         call.may_have_run = True
         call.tried_boxes.append(box)
         decision = self.retry_policy.after_lost_link(now, call)
-        self._apply_decision(now, call, decision, messages.Reason.BOX_LOST)
+        self._apply(now, call, decision, messages.Reason.BOX_LOST)
 
-    def _apply_decision(
+    def _apply(
         self,
         now: float,
         call: calls.Call,
@@ -270,7 +266,7 @@
         reason: messages.Reason,
         retry_after_ms: int | None = None,
     ) -> None:
-        """Try again or give up, as decided; without a time to return, draw one."""
+        """Retry or give up; a missing `retry_after_ms` is drawn at random."""
         match decision:
             case retry_policy.Retry(delay_s=0.0):
                 self._start_attempt(now, call)
@@ -289,21 +285,21 @@
         reason: messages.Reason,
         retry_after_ms: int,
     ) -> None:
-        """Answer at once that the call was not run, or may have run."""
+        """Answer that the call was not run, or that its outcome is unknown."""
         outcome = effects.Outcome.NOT_RUN
         if call.may_have_run:
             outcome = effects.Outcome.UNKNOWN
-        answer = calls.failure_response(
+        response = calls.failure_response(
             call.conn, outcome, reason, retry_after_ms, call.attempts
         )
-        self.ctx.emit(answer)
+        self.ctx.emit(response)
         self._lower_parent_level(now, call, reason)
-        self.attempts.finish(now, call, outcome, reason, answer.status)
+        self.attempts.finish(now, call, outcome, reason, response.status)
 
     def _lower_parent_level(
         self, now: float, call: calls.Call, reason: messages.Reason
     ) -> None:
-        """Have the parent's route reject what would fail in this way too."""
+        """Make the parent's route reject requests whose nested calls would be shed."""
         if not call.parent_path_key or reason not in OVERLOAD_REASONS:
             return
         level = self.router.admission_level(now, call.service, call.path_key)
@@ -312,14 +308,14 @@
             path_levels.record_nested_refusal(now, call.parent_path_key, level)
 
     def _reject(self, conn: int, rejected: intake.Rejected) -> None:
-        """Answer a request that is no call."""
+        """Answer a request that was rejected before it became a call."""
         outcome = effects.Outcome.NOT_RUN
         if rejected.may_have_run:
             outcome = effects.Outcome.UNKNOWN
-        answer = calls.failure_response(
+        response = calls.failure_response(
             conn, outcome, rejected.reason, self._retry_after_ms(), 0
         )
-        self.ctx.emit(answer)
+        self.ctx.emit(response)
         self.ctx.emit(
             effects.CallFinished(
                 conn=conn,
@@ -328,7 +324,7 @@
                 reason=rejected.reason,
                 attempts=0,
                 seconds=0.0,
-                status=answer.status,
+                status=response.status,
             )
         )
 
--- a/ferrydeck/signed/core/headers.py
+++ b/ferrydeck/signed/core/headers.py
@@ -44,7 +44,7 @@
 """Fields that are not passed on: they belong to one connection or to this layer."""
 
 
-def first_value(headers: Iterable[messages.Header], name: str) -> str:
+def get(headers: Iterable[messages.Header], name: str) -> str:
     """Return the value of the first field of that name, or nothing."""
     for header in headers:
         if header.name == name:
--- a/ferrydeck/signed/core/intake.py
+++ b/ferrydeck/signed/core/intake.py
@@ -1,4 +1,4 @@
-"""From a request as it came in to a call: route, class, deadline, allowance."""
+"""Turns received requests into calls: route, class, deadline, retry allowance."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejected:
-    """A request that goes no further."""
+    """A request that is answered without being forwarded."""
 
     reason: messages.Reason
     class_name: str = ""
@@ -36,7 +36,7 @@
 
 @attrs.define(kw_only=True)
 class ResendRecord:
-    """A key that came in before, with the allowance that all its sendings share."""
+    """A known idempotency key and the retry allowance that its requests share."""
 
     allowance: retry_limits.RetryAllowance
     expires: float
@@ -45,7 +45,7 @@
 
 @attrs.define(kw_only=True)
 class Intake:
-    """Makes calls of requests."""
+    """Validates requests and builds the calls for them."""
 
     ctx: context.Context
     correlation: correlation.Correlation
@@ -53,20 +53,18 @@
         attrs.Factory(collections.OrderedDict)
     )
 
-    def make_call(
-        self, now: float, event: events.CallReceived
-    ) -> calls.Call | Rejected:
-        """Return the call for a request, or why there is none."""
+    def admit(self, now: float, event: events.CallReceived) -> calls.Call | Rejected:
+        """Return the call for a request, or the reason for its rejection."""
         if self.ctx.active is None:
-            keyed = bool(headers.first_value(event.headers, headers.IDEMPOTENCY_KEY))
-            return Rejected(reason=messages.Reason.NO_BUNDLE, may_have_run=keyed)
+            has_key = bool(headers.get(event.headers, headers.IDEMPOTENCY_KEY))
+            return Rejected(reason=messages.Reason.NO_BUNDLE, may_have_run=has_key)
         service, _, rest = event.path[1:].partition("/")
         path = f"/{rest}"
-        bare = path.partition("?")[0]
-        route = self.ctx.active.route(service, event.method, bare)
+        path_only = path.partition("?")[0]
+        route = self.ctx.active.route(service, event.method, path_only)
         if route is None:
             return Rejected(reason=messages.Reason.NO_ROUTE)
-        key = headers.first_value(event.headers, headers.IDEMPOTENCY_KEY)
+        key = headers.get(event.headers, headers.IDEMPOTENCY_KEY)
         reason = validate(event, route, key)
         if reason is not None:
             return Rejected(reason=reason, class_name=route.class_name)
@@ -75,17 +73,15 @@
         return self._charge_allowance(now, call, parent)
 
     def record_outcome(self, call: calls.Call, may_have_run: bool) -> None:
-        """Note for the resends of a key whether it may have run."""
-        resent = self.resend_records.get(resend_key(call)) if call.key else None
-        if resent is not None:
-            resent.may_have_run |= may_have_run
+        """Remember for later requests with the same key whether it may have run."""
+        record = self.resend_records.get(resend_key(call)) if call.key else None
+        if record is not None:
+            record.may_have_run |= may_have_run
 
     def _parent_run(self, event: events.CallReceived) -> correlation.Run | None:
         if not event.local:
             return None
-        return self.correlation.find(
-            headers.first_value(event.headers, headers.CONTEXT)
-        )
+        return self.correlation.find(headers.get(event.headers, headers.CONTEXT))
 
     def _build_call(
         self,
@@ -130,41 +126,41 @@
     def _charge_allowance(
         self, now: float, call: calls.Call, parent: correlation.Run | None
     ) -> calls.Call | Rejected:
-        """Have a call that was sent before draw on the allowance of the first."""
+        """Charge a repeated call to the allowance of the first one."""
         if not self.ctx.policy.share_retry_allowance:
             return call
         if parent is not None:
             call.allowance = parent.allowance
             req = call.request
-            mark = hashes.fingerprint(
+            fingerprint = hashes.fingerprint(
                 call.service, req.method, call.path, call.key, req.body
             )
-            if parent.allowance.is_new_call(mark):
+            if parent.allowance.is_new_call(fingerprint):
                 return call
             if parent.allowance.try_spend():
                 call.charged_as_retry = True
                 return call
             return self._reject_spent(call, may_have_run=True)
-        # The owner of a key that must not repeat starts it once however often it
-        # is sent, and a caller whose outcome was unknown must be able to ask again.
+        # Resends of a non-repeatable call are free: the owner of the key runs it once,
+        # and a caller must be able to ask again after an unknown outcome.
         if not call.key or not call.route.repeatable:
             return call
         return self._charge_resend(now, call)
 
     def _charge_resend(self, now: float, call: calls.Call) -> calls.Call | Rejected:
         self._evict_resend_records(now)
-        resent = self.resend_records.get(resend_key(call))
-        if resent is None:
+        record = self.resend_records.get(resend_key(call))
+        if record is None:
             until = now + self.ctx.active.bundle.kept_s
             self.resend_records[resend_key(call)] = ResendRecord(
                 allowance=call.allowance, expires=until
             )
             return call
-        call.allowance = resent.allowance
-        if resent.allowance.try_spend():
+        call.allowance = record.allowance
+        if record.allowance.try_spend():
             call.charged_as_retry = True
             return call
-        return self._reject_spent(call, may_have_run=resent.may_have_run)
+        return self._reject_spent(call, may_have_run=record.may_have_run)
 
     def _reject_spent(self, call: calls.Call, *, may_have_run: bool) -> Rejected:
         return Rejected(
@@ -185,34 +181,34 @@
 def validate(
     event: events.CallReceived, route: bundles.Route, key: str
 ) -> messages.Reason | None:
-    """Return what is wrong with a request on a route, or `None`."""
+    """Return why a request is invalid for a route, or `None`."""
     if len(event.body) > route.max_body:
         return messages.Reason.BODY_TOO_LARGE
     if not route.repeatable and not key:
         return messages.Reason.KEY_MISSING
     if len(key) > MAX_KEY_LENGTH:
         return messages.Reason.BAD_REQUEST
-    named = headers.first_value(event.headers, headers.DEADLINE_MS)
-    if named and not (named.isascii() and named.isdigit()):
+    deadline_ms = headers.get(event.headers, headers.DEADLINE_MS)
+    if deadline_ms and not (deadline_ms.isascii() and deadline_ms.isdigit()):
         return messages.Reason.BAD_REQUEST
-    if len(named) > MAX_DEADLINE_DIGITS:
+    if len(deadline_ms) > MAX_DEADLINE_DIGITS:
         return messages.Reason.BAD_REQUEST
     return None
 
 
 def requested_deadline_s(event: events.CallReceived, route: bundles.Route) -> float:
-    """Return the time that a caller waits, seconds."""
-    named = headers.first_value(event.headers, headers.DEADLINE_MS)
-    wanted = int(named) if named else route.deadline_ms
-    return min(wanted, route.deadline_ms) / 1000
+    """Return the time that a caller waits, in seconds, at most the route's deadline."""
+    header = headers.get(event.headers, headers.DEADLINE_MS)
+    requested_ms = int(header) if header else route.deadline_ms
+    return min(requested_ms, route.deadline_ms) / 1000
 
 
 def caller_digest(event: events.CallReceived) -> str:
-    """Return what distinguishes callers: a digest of their credentials."""
-    credentials = headers.first_value(event.headers, headers.AUTHORIZATION)
+    """Return a digest of the caller's credentials, empty without any."""
+    credentials = headers.get(event.headers, headers.AUTHORIZATION)
     return hashes.hash128_hex(credentials) if credentials else ""
 
 
 def resend_key(call: calls.Call) -> tuple[str, str, str]:
-    """Return what the sendings of one request have in common."""
+    """Return what identifies the resends of one request."""
     return (call.service, call.caller, call.key)
--- a/ferrydeck/signed/core/streaming.py
+++ b/ferrydeck/signed/core/streaming.py
@@ -83,7 +83,7 @@
             status=message.status,
             total=message.total,
             offset=len(message.body),
-            etag=headers.first_value(message.headers, headers.ETAG),
+            etag=headers.get(message.headers, headers.ETAG),
             last_progress=now,
         )
         self.ctx.schedule(
@@ -130,9 +130,9 @@
     ) -> None:
         """Go on with a long answer from another box, if it is the same body."""
         stream = call.stream
-        ranges = headers.first_value(message.headers, headers.CONTENT_RANGE)
+        ranges = headers.get(message.headers, headers.CONTENT_RANGE)
         wanted = rf"bytes {stream.offset}-{stream.total - 1}/{stream.total}"
-        same = headers.first_value(message.headers, headers.ETAG) == stream.etag
+        same = headers.get(message.headers, headers.ETAG) == stream.etag
         if message.status != 206 or not same or not re.fullmatch(wanted, ranges):
             self._abort(now, call)
             return
--- a/ferrydeck/standins/target.py
+++ b/ferrydeck/standins/target.py
@@ -99,7 +99,7 @@
         work = Work(
             req=req,
             nested=nested.split(",") if nested else [],
-            context=headers.first_value(req.headers, headers.CONTEXT),
+            context=headers.get(req.headers, headers.CONTEXT),
         )
         self.works[req.call] = work
         self.waiting.append(work)
@@ -150,7 +150,7 @@
         self.busy += 1
         self.effects.append(
             Effect(
-                key=headers.first_value(work.req.headers, headers.IDEMPOTENCY_KEY),
+                key=headers.get(work.req.headers, headers.IDEMPOTENCY_KEY),
                 path=work.req.path,
                 method=work.req.method,
                 at=clock.now(),
@@ -196,7 +196,7 @@
         if size:
             self._reply_long(work, size)
         else:
-            key = headers.first_value(work.req.headers, headers.IDEMPOTENCY_KEY)
+            key = headers.get(work.req.headers, headers.IDEMPOTENCY_KEY)
             body = {"key": key, "path": work.req.path, "id": query.get("id", "")}
             self.answer(work.req.call, int(query.get("status", "200")), body)
         self._end(work)
@@ -205,7 +205,7 @@
         """Answer with a long body, all of it or from an offset on."""
         body = pattern(size)
         etag = messages.Header(name="etag", value=f'"{size}"')
-        wanted = headers.first_value(work.req.headers, headers.RANGE)
+        wanted = headers.get(work.req.headers, headers.RANGE)
         status, headers_sent = 200, (etag,)
         if wanted.startswith("bytes="):
             offset = int(wanted[6:].partition("-")[0])
