--- a/ferrydeck/commands/review.py
+++ b/ferrydeck/commands/review.py
@@ -37,7 +37,7 @@
 def current_body(address: str) -> str:
     """Return the body of the bundle that the platform points to, or nothing."""
     port = client.PlatformPort(address=address)
-    pointed = port.read(rollout.POINTER_KEY)
+    pointed = port.read(rollout.POINTER)
     if isinstance(pointed, platform.Absent):
         return ""
     version = json.loads(pointed.entry.value)["version"]
--- a/ferrydeck/commands/roll.py
+++ b/ferrydeck/commands/roll.py
@@ -36,7 +36,7 @@
 
 def roll(port: client.PlatformPort, verified: signing.Verified) -> outcomes.Outcome:
     """Store a verified bundle once, and point to it from its parent only."""
-    pointed = port.read(rollout.POINTER_KEY)
+    pointed = port.read(rollout.POINTER)
     refusal = check_parent(port, pointed, verified)
     if refusal is not None:
         return refusal
@@ -98,13 +98,11 @@
     value = msgspec.json.encode(pointer).decode()
     for _ in range(TRIES):
         result = port.ask(
-            platform.Write(
-                key=rollout.POINTER_KEY, value=value, expected_version=expect
-            )
+            platform.Write(key=rollout.POINTER, value=value, expected_version=expect)
         )
         if isinstance(result, platform.Written):
             return done(verified, "rolled")
-        found = port.read(rollout.POINTER_KEY)
+        found = port.read(rollout.POINTER)
         if isinstance(found, platform.Found) and found.entry.version != expect:
             current = msgspec.json.decode(found.entry.value, type=rollout.Pointer)
             if current.digest == verified.digest:
--- a/ferrydeck/replay/world.py
+++ b/ferrydeck/replay/world.py
@@ -124,9 +124,7 @@
             signed=signed, bundle=bundle, raw=signing.encode(signed), signers=("test",)
         )
         for box in self.boxes.values():
-            self._carry_out(
-                box, box.core.activate_bundle(self._now(box), self._verified)
-            )
+            self._carry_out(box, box.core.activate(self._now(box), self._verified))
 
     def add_box(
         self, name: str, data_centre: str, *, service: str = "", slots: int = 0
@@ -162,7 +160,7 @@
         self.boxes[name] = box
         self._carry_out(box, core.start(self._now(box)))
         if self._verified is not None:
-            self._carry_out(box, core.activate_bundle(self._now(box), self._verified))
+            self._carry_out(box, core.activate(self._now(box), self._verified))
         return box
 
     def run(self, seconds: float) -> None:
--- a/ferrydeck/signed/core/calls.py
+++ b/ferrydeck/signed/core/calls.py
@@ -138,9 +138,7 @@
     )
 
 
-def target_response(
-    call: Call, box: str, received: messages.Answer
-) -> effects.AnswerCaller:
+def response(call: Call, box: str, received: messages.Answer) -> effects.AnswerCaller:
     """Return the target's answer for the caller."""
     return effects.AnswerCaller(
         conn=call.conn,
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -112,9 +112,7 @@
         self.ctx.schedule(now + HEARTBEAT_INTERVAL_S, HeartbeatTimer())
         return self._run_due_timers(now)
 
-    def activate_bundle(
-        self, now: float, verified: signing.Verified
-    ) -> list[effects.Effect]:
+    def activate(self, now: float, verified: signing.Verified) -> list[effects.Effect]:
         """Put a verified bundle in force, where none comes by the platform."""
         self.ctx.active = context.make_active_bundle(verified)
         self.rollout.bundle_changed = True
--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -103,7 +103,7 @@
         if call.stream is not None:
             self.streaming.handle_resumed(now, call, message)
             return
-        self.ctx.emit(calls.target_response(call, envelope.box, message))
+        self.ctx.emit(calls.response(call, envelope.box, message))
         if len(message.body) < message.total:
             self.streaming.start(now, call, message)
             return
--- a/ferrydeck/signed/core/membership.py
+++ b/ferrydeck/signed/core/membership.py
@@ -1,8 +1,6 @@
-"""The daemons that this one knows: member records, news and their spread.
+"""Gossip membership: the records of all known boxes.
 
-A change of a record is sent at once to the boxes in contact and to a few more,
-and each box to which it is news passes it on. A summary sent to one random box a
-second finds what got lost. No box is declared dead here.
+Changes are relayed to random peers; periodic digests repair what was lost.
 """
 
 from __future__ import annotations
@@ -15,28 +13,28 @@
 DIGEST_INTERVAL_S = 1.0
 GOSSIP_FANOUT = 3
 MAX_CONTACT_AGE_S = 30.0
-"""How long a box counts as in contact after its last message, seconds."""
+"""Age of the last message up to which a peer receives record changes directly."""
 LEAVING_PEER_TIMEOUT_S = 120.0
-"""How long a leaving box that sends nothing is remembered, seconds."""
+"""Time without messages after which a leaving peer is removed."""
 PEER_TIMEOUT_S = 7200.0
-"""How long any box that sends nothing to anyone is remembered, seconds."""
+"""Time without messages to any box after which any peer is removed."""
 WATCHERS_PER_DATA_CENTRE = 3
-"""Boxes a data centre that watch the platform for all of it."""
+"""Number of boxes per data centre that watch the platform on behalf of all."""
 HELLO_INTERVAL_S = 1.0
 
 
 @attrs.define(kw_only=True, frozen=True)
 class DigestTimer:
-    """Time to compare notes with one other box."""
+    """The next digest is due."""
 
 
 @attrs.define(kw_only=True)
 class Peer:
-    """A box as this daemon sees it."""
+    """Another box as known to this daemon."""
 
     member: messages.Member
     confirmed: bool
-    """Whether the record comes from the box itself, not the platform's list."""
+    """Whether the box's own record has been received."""
     last_message: float
     listed_leaving: bool = False
     last_hello: float = -1e9
@@ -44,7 +42,7 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Return whether new work may be sent there."""
+        """Whether new work may be sent to the box."""
         state = self.member.state
         return (
             self.confirmed and state is messages.State.LIVE and not self.listed_leaving
@@ -53,14 +51,14 @@
 
 @attrs.define(kw_only=True)
 class Membership:
-    """The table of peers, and this daemon's own record."""
+    """The known peers and this daemon's own record."""
 
     ctx: context.Context
     seeds: tuple[str, ...] = ()
     peers: dict[str, Peer] = attrs.Factory(dict)
     own: messages.Member = attrs.field(init=False)
     version: int = 0
-    """Rises whenever the table changes, for caches made from it."""
+    """Incremented on every change, to invalidate caches."""
     _listed_states: dict[str, str] = attrs.Factory(dict)
     _list_received: bool = False
 
@@ -79,28 +77,24 @@
         )
 
     def start(self, now: float) -> None:
-        """Introduce this daemon to the boxes in its settings."""
+        """Announce this daemon to the seed addresses."""
         for address in self.seeds:
             if address != self.own.address:
-                self._send_to_address(
-                    address, messages.Hello(member=self.own, relay=True)
-                )
+                self._send_to(address, messages.Hello(member=self.own, relay=True))
         self.ctx.schedule(
             now + DIGEST_INTERVAL_S * self.ctx.rng.random(), DigestTimer()
         )
 
     def update_own_record(self, now: float, **changes: object) -> None:
-        """Change this daemon's own record and send it out."""
+        """Change this daemon's own record and gossip it."""
         self.own = attrs.evolve(self.own, sequence=self.own.sequence + 1, **changes)
         self.version += 1
-        news = messages.Hello(member=self.own, relay=True)
+        hello = messages.Hello(member=self.own, relay=True)
         recent = [
-            peer
-            for peer in self.peers.values()
-            if now - peer.last_message < MAX_CONTACT_AGE_S
+            p for p in self.peers.values() if now - p.last_message < MAX_CONTACT_AGE_S
         ]
         for peer in recent or self._sample(GOSSIP_FANOUT):
-            self.send(peer, news)
+            self.send(peer, hello)
 
     def send(self, peer: Peer, message: messages.Message) -> None:
         """Send a message to a peer."""
@@ -108,11 +102,8 @@
         self.ctx.send(member.box, member.address, member.incarnation, message)
 
     def message_received(self, now: float, envelope: messages.Envelope) -> float:
-        """Note a message of a peer; return how long it was held up, seconds.
-
-        The clocks of two boxes have nothing in common, so the shortest
-        difference seen so far stands for a message that was not held up.
-        """
+        """Record a message from a peer and return its queueing delay, in seconds."""
+        # Clocks aren't synchronised: the smallest difference is taken as no delay.
         peer = self.peers.get(envelope.box)
         if peer is None or envelope.incarnation > peer.member.incarnation:
             self._add_unknown_peer(now, envelope)
@@ -127,59 +118,54 @@
         peer.min_clock_difference = min(peer.min_clock_difference, difference)
         return difference - peer.min_clock_difference
 
-    def handle_hello(self, now: float, news: messages.Hello) -> None:
-        """Take in a record; pass it on where it is news."""
-        if not self._merge_record(now, news.member, 0.0) or not news.relay:
+    def handle_hello(self, now: float, hello: messages.Hello) -> None:
+        """Merge a record, and relay it if it is new here."""
+        if not self._merge(now, hello.member, 0.0) or not hello.relay:
             return
         for peer in self._sample(GOSSIP_FANOUT):
-            if peer.member.box != news.member.box:
-                self.send(peer, news)
+            if peer.member.box != hello.member.box:
+                self.send(peer, hello)
 
     def handle_digest(
-        self, now: float, envelope: messages.Envelope, summary: messages.Digest
+        self, now: float, envelope: messages.Envelope, digest: messages.Digest
     ) -> None:
-        """Compare a summary with this table; send the table where they differ."""
+        """Send all records to a peer whose digest differs from this table's."""
         peer = self.peers.get(envelope.box)
-        if peer is None or summary.members == self.checksum():
+        if peer is None or digest.members == self.checksum():
             return
         self.send(peer, messages.Members(members=self._records_with_silence(now)))
-        if not summary.answer_wanted:
+        if not digest.answer_wanted:
             return
         self.send(peer, messages.Digest(members=self.checksum()))
 
     def handle_members(self, now: float, received: messages.Members) -> None:
-        """Take in a table of records."""
-        for one in received.members:
-            if one.silent_s < PEER_TIMEOUT_S:
-                self._merge_record(now, one.member, one.silent_s)
-            if one.listed_leaving:
-                member = one.member
+        """Merge all records that a peer knows."""
+        for known in received.members:
+            if known.silent_s < PEER_TIMEOUT_S:
+                self._merge(now, known.member, known.silent_s)
+            if known.listed_leaving:
+                member = known.member
                 self.mark_listed_leaving(member.box, member.incarnation)
 
-    def update_box_list(
-        self, now: float, boxes: tuple[object, ...]
-    ) -> list[messages.Member]:
-        """Take in the platform's list; return the boxes newly listed as leaving.
-
-        The list lags, so only a change to leaving that was seen here counts: a
-        box that has started anew may be listed as leaving for some time yet.
-        """
+    def sync_list(self, now: float, boxes: tuple[object, ...]) -> list[messages.Member]:
+        """Merge the platform's box list; return the boxes newly listed as leaving."""
+        # The list lags: a restarted box may still be listed as leaving for some time.
         leaving = []
-        first, self._list_received = not self._list_received, True
+        is_first, self._list_received = not self._list_received, True
         for entry in boxes:
             before = self._listed_states.get(entry.box)
             self._listed_states[entry.box] = entry.state
             if entry.box not in self.peers and entry.box != self.own.box:
-                self._send_to_address(entry.address, messages.Hello(member=self.own))
-            turned = before != entry.state == messages.State.LEAVING
-            if turned and not first and entry.box in self.peers:
+                self._send_to(entry.address, messages.Hello(member=self.own))
+            now_leaving = before != entry.state == messages.State.LEAVING
+            if now_leaving and not is_first and entry.box in self.peers:
                 leaving.append(self.peers[entry.box].member)
         for member in leaving:
             self.mark_listed_leaving(member.box, member.incarnation)
         return leaving
 
     def mark_listed_leaving(self, box: str, incarnation: int) -> None:
-        """Send a box no new work until it starts anew."""
+        """Stop sending new work to a box until it restarts."""
         peer = self.peers.get(box)
         if peer is None or peer.listed_leaving:
             return
@@ -189,13 +175,13 @@
         self.version += 1
 
     def run_digest_round(self, now: float) -> None:
-        """Compare notes with one random box, and forget those long gone."""
+        """Send a digest to a random peer and remove expired peers."""
         self.ctx.schedule(
             now + DIGEST_INTERVAL_S * (0.5 + self.ctx.rng.random()), DigestTimer()
         )
         for peer in self._sample(1):
-            summary = messages.Digest(members=self.checksum(), answer_wanted=True)
-            self.send(peer, summary)
+            digest = messages.Digest(members=self.checksum(), answer_wanted=True)
+            self.send(peer, digest)
         if not self.peers:
             self._contact_seed()
         for box in self._expired_peers(now):
@@ -204,12 +190,12 @@
             self.ctx.emit(effects.ForgetPeer(box=box))
 
     def records(self) -> tuple[messages.Member, ...]:
-        """Return all records that come from their boxes."""
+        """Return this daemon's record and all confirmed ones."""
         known = [peer.member for peer in self.peers.values() if peer.confirmed]
         return (self.own, *known)
 
     def _records_with_silence(self, now: float) -> tuple[messages.KnownMember, ...]:
-        """Return the records with the time since the last messages of their boxes."""
+        """Return all confirmed records with the time since each box's last message."""
         known = [
             messages.KnownMember(
                 member=peer.member,
@@ -222,7 +208,7 @@
         return (messages.KnownMember(member=self.own, silent_s=0.0), *known)
 
     def checksum(self) -> int:
-        """Return a number that is the same for the same table."""
+        """Return a checksum of the records that does not depend on their order."""
         total = 0
         for member in self.records():
             text = f"{member.box}/{member.incarnation}/{member.sequence}"
@@ -231,21 +217,21 @@
 
     def is_watcher(self) -> bool:
         """Return whether this box watches the platform for its data centre."""
-        names = [self.own.box]
-        names += [
+        boxes = [self.own.box]
+        boxes += [
             box
             for box, peer in self.peers.items()
             if peer.member.data_centre == self.own.data_centre and peer.accepts_work
         ]
-        names.sort(key=hashes.hash64)
-        return self.own.box in names[:WATCHERS_PER_DATA_CENTRE]
+        boxes.sort(key=hashes.hash64)
+        return self.own.box in boxes[:WATCHERS_PER_DATA_CENTRE]
 
     def sample(self, count: int) -> list[Peer]:
         """Return up to `count` random peers."""
         return self._sample(count)
 
     def _add_unknown_peer(self, now: float, envelope: messages.Envelope) -> None:
-        """Make a record of a box known by its message alone."""
+        """Add a peer of which only a message is known, without its record."""
         before = self.peers.get(envelope.box)
         member = messages.Member(
             box=envelope.box,
@@ -265,10 +251,8 @@
             self.ctx.emit(effects.ForgetPeer(box=envelope.box))
         self.send(peer, messages.Hello(member=self.own))
 
-    def _merge_record(
-        self, now: float, member: messages.Member, silent_s: float
-    ) -> bool:
-        """Take in one record; return whether it was news."""
+    def _merge(self, now: float, member: messages.Member, silent_s: float) -> bool:
+        """Merge one record and return whether it was new."""
         if member.box == self.own.box:
             return False
         last_message = now - silent_s
@@ -280,8 +264,8 @@
             self.version += 1
             return True
         peer.last_message = max(peer.last_message, last_message)
-        age = (peer.member.incarnation, peer.member.sequence)
-        if (member.incarnation, member.sequence) <= age:
+        current = (peer.member.incarnation, peer.member.sequence)
+        if (member.incarnation, member.sequence) <= current:
             return False
         restarted = member.incarnation > peer.member.incarnation
         if restarted:
@@ -304,13 +288,13 @@
         ]
 
     def _contact_seed(self) -> None:
-        others = [one for one in self.seeds if one != self.own.address]
+        others = [seed for seed in self.seeds if seed != self.own.address]
         if others:
             address = self.ctx.rng.choice(others)
-            self._send_to_address(address, messages.Hello(member=self.own, relay=True))
+            self._send_to(address, messages.Hello(member=self.own, relay=True))
 
-    def _send_to_address(self, address: str, message: messages.Message) -> None:
-        """Send to a box of which only the address is known."""
+    def _send_to(self, address: str, message: messages.Message) -> None:
+        """Send a message to a box of which only the address is known."""
         self.ctx.send(f"@{address}", address, 0, message)
 
     def _sample(self, count: int) -> list[Peer]:
--- a/ferrydeck/signed/core/once.py
+++ b/ferrydeck/signed/core/once.py
@@ -146,7 +146,7 @@
         self.table.add(entry)
         job.key_record = entry
         if reason is not None:
-            self.replies.reject_with_waiters(now, job, reason)
+            self.replies.reject_key(now, job, reason)
             return False
         return True
 
--- a/ferrydeck/signed/core/replies.py
+++ b/ferrydeck/signed/core/replies.py
@@ -37,9 +37,7 @@
         )
         self.send(job, rejected)
 
-    def reject_with_waiters(
-        self, now: float, job: jobs.Job, reason: messages.Reason
-    ) -> None:
+    def reject_key(self, now: float, job: jobs.Job, reason: messages.Reason) -> None:
         """Reject a job, and with it all that wait for the same key."""
         if job.key_record is None:
             self.jobs.pop(jobs.attempt_id(job), None)
--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -68,7 +68,7 @@
                 case admission.Start(job=job):
                     self._start(now, job)
                 case admission.Reject(job=job, reason=reason):
-                    self.replies.reject_with_waiters(now, job, reason)
+                    self.replies.reject_key(now, job, reason)
 
     def cancel(self, now: float, job: jobs.Job) -> None:
         """Stop a running job whose answer nobody wants any more.
@@ -144,7 +144,7 @@
             self._reply_uncertain(now, job, event.reason)
             return
         self._finish(now, job, overloaded=True)
-        self.replies.reject_with_waiters(now, job, event.reason)
+        self.replies.reject_key(now, job, event.reason)
 
     def check_stall(self, now: float, dispatch: int) -> None:
         """End a long answer that has not moved for too long."""
@@ -212,7 +212,7 @@
         """Reject a job that got its turn after the lease had ended."""
         slots = self.target.admission
         decisions = slots.finish(now, service_s=slots.mean_service_s)
-        self.replies.reject_with_waiters(now, job, messages.Reason.NO_LEASE)
+        self.replies.reject_key(now, job, messages.Reason.NO_LEASE)
         self.apply_decisions(now, decisions)
 
     def _stream(self, now: float, job: jobs.Job) -> None:
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -166,7 +166,7 @@
         forward = job.forward
         sheds = self.ctx.policy.shed_at_caller
         if sheds and forward.priority > self.target.path_level(now, forward):
-            self.replies.reject_with_waiters(now, job, messages.Reason.OVERLOAD)
+            self.replies.reject_key(now, job, messages.Reason.OVERLOAD)
             return
         self.jobs[jobs.attempt_id(job)] = job
         if forward.depth and self.runs.is_request_running(forward.request_id):
@@ -188,4 +188,4 @@
         if entry is not None and entry.state is keys.KeyState.RUNNING:
             return
         self.target.admission.remove_queued(job)
-        self.replies.reject_with_waiters(now, job, messages.Reason.CANCELLED)
+        self.replies.reject_key(now, job, messages.Reason.CANCELLED)
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -134,7 +134,7 @@
     members = worlds.ledger_world().boxes["north-entry"].core.members
 
     def listed(**states):
-        return members.update_box_list(
+        return members.sync_list(
             0.0,
             tuple(
                 platform.ListedBox(
