--- a/ferrydeck/signed/core/calls.py
+++ b/ferrydeck/signed/core/calls.py
@@ -1,4 +1,4 @@
-"""A caller's call, and the replies that this daemon makes for it."""
+"""A call in progress, and the responses to its caller."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from ferrydeck.signed.wire import messages
 
 MAX_HOP_MARGIN_S = 0.01
-"""What a hop keeps of the time left, seconds; at most a twentieth of it."""
+"""Time that a hop reserves for itself, at most a twentieth of the remaining time."""
 MAX_CANCEL_GRACE_S = 0.05
-"""Time to learn whether a cancelled attempt had started, seconds; at most a tenth
-of the whole time."""
+"""Time reserved for the reply to a cancelled attempt, at most a tenth of the call's
+timeout."""
 MS_PER_S = 1000
 
 STATUS_BY_REASON = {
@@ -28,7 +28,7 @@
 
 @attrs.define(kw_only=True)
 class Attempt:
-    """One forwarding of a call to one box."""
+    """One attempt to have a call served by a box."""
 
     number: int
     box: str
@@ -36,12 +36,12 @@
     address: str
     allowance: int
     head_received: bool = False
-    """Whether the head of its answer has come."""
+    """Whether the head of a streamed answer was received."""
 
 
 @attrs.define(kw_only=True)
 class Stream:
-    """A long answer on its way to the caller."""
+    """The state of a streamed answer."""
 
     status: int
     total: int
@@ -49,13 +49,13 @@
     etag: str
     last_progress: float
     attempt_offset: int = 0
-    """Offset in the body at which the answer of the present attempt begins."""
+    """Offset in the body at which the current attempt's answer starts."""
     resumed_offset: int = -1
 
 
 @attrs.define(kw_only=True, eq=False)
 class Call:
-    """One call of one caller."""
+    """A caller's request while it is in progress."""
 
     conn: int
     number: int
@@ -63,7 +63,7 @@
     route: bundles.Route
     request: events.CallReceived
     path: str
-    """The path below the service, with the query."""
+    """The path without the service prefix, including the query."""
     key: str
     caller: str
     request_id: str
@@ -71,7 +71,7 @@
     depth: int
     allowance: retry_limits.RetryAllowance
     parent_path_key: str
-    """The route of the request that this call is made for; empty for none."""
+    """Path key of the request that this nested call belongs to; empty if none."""
     started: float
     deadline: float
     may_have_run: bool = False
@@ -81,32 +81,32 @@
     stream: Stream | None = None
     cancelling: bool = False
     charged_as_retry: bool = False
-    """Whether this sending itself was taken from the allowance."""
+    """Whether the request itself was charged to the retry allowance."""
     owner_hint: str = ""
 
     @property
     def path_key(self) -> str:
-        """The name under which the level of the call's route is kept."""
+        """The key of the route's admission level."""
         return levels.path_key(self.route.method, self.route.path)
 
     @property
     def cancel_grace_s(self) -> float:
-        """Time kept at the end for the reply to a cancelled attempt, seconds."""
+        """Time reserved for the reply to a cancelled attempt."""
         return min(MAX_CANCEL_GRACE_S, 0.1 * (self.deadline - self.started))
 
     @property
     def cancel_at(self) -> float:
-        """When an attempt that was not answered is cancelled."""
+        """The time at which an unanswered attempt is cancelled."""
         return self.deadline - self.cancel_grace_s
 
     def remaining_s(self, now: float) -> float:
-        """Return the time that an attempt may take from now on, seconds."""
-        left = self.cancel_at - now
-        return left - min(MAX_HOP_MARGIN_S, 0.05 * max(0.0, left))
+        """Return the time that an attempt may take from now on."""
+        remaining_s = self.cancel_at - now
+        return remaining_s - min(MAX_HOP_MARGIN_S, 0.05 * max(0.0, remaining_s))
 
 
 def status_of(outcome: effects.Outcome, reason: messages.Reason) -> int:
-    """Return the HTTP status of an answer that no target gave."""
+    """Return the HTTP status of a call that no target answered."""
     if outcome is effects.Outcome.UNKNOWN:
         return STATUS_UNKNOWN
     return STATUS_BY_REASON.get(reason, STATUS_NOT_RUN)
@@ -119,7 +119,7 @@
     retry_after_ms: int,
     attempts: int,
 ) -> effects.AnswerCaller:
-    """Return the final answer of a call that no target answered."""
+    """Return the response to a call that no target answered."""
     seconds = -(-retry_after_ms // MS_PER_S)
     body = f"{outcome}: {reason}\n".encode()
     return effects.AnswerCaller(
@@ -138,26 +138,26 @@
     )
 
 
-def response(call: Call, box: str, received: messages.Answer) -> effects.AnswerCaller:
-    """Return the target's answer for the caller."""
+def response(call: Call, box: str, answer: messages.Answer) -> effects.AnswerCaller:
+    """Return the response that relays a target's answer."""
     return effects.AnswerCaller(
         conn=call.conn,
-        status=received.status,
+        status=answer.status,
         headers=(
-            *received.headers,
+            *answer.headers,
             messages.Header(name=headers.OUTCOME, value=effects.Outcome.DONE),
             messages.Header(name=headers.BOX, value=box),
             messages.Header(name=headers.ATTEMPTS, value=str(call.attempts)),
         ),
-        body=received.body,
-        total=received.total,
+        body=answer.body,
+        total=answer.total,
     )
 
 
 def forwarded_headers(call: Call) -> tuple[messages.Header, ...]:
-    """Return the fields for the target; the rest of a broken answer is a range."""
-    passed = headers.end_to_end(call.request.headers)
+    """Return the fields to forward; a resumed answer is requested as a range."""
+    forwarded = headers.end_to_end(call.request.headers)
     if call.stream is None:
-        return passed
+        return forwarded
     rest = messages.Header(name=headers.RANGE, value=f"bytes={call.stream.offset}-")
-    return (*(one for one in passed if one.name != headers.RANGE), rest)
+    return (*(field for field in forwarded if field.name != headers.RANGE), rest)
--- a/ferrydeck/signed/core/context.py
+++ b/ferrydeck/signed/core/context.py
@@ -1,4 +1,4 @@
-"""What the parts of the core share: identity, random numbers, timers, effects."""
+"""State shared by the parts of the core: identity, timers and pending effects."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Identity:
-    """Who this daemon is."""
+    """The identity of this daemon."""
 
     cluster: str
     box: str
@@ -27,12 +27,12 @@
     data_centre: str
     region: str = "default"
     service: str = ""
-    """The service of the target beside it; empty for none."""
+    """The service of the local target; empty if there is none."""
 
 
 @attrs.define(kw_only=True)
 class ActiveBundle:
-    """The bundle in force, with what is looked up in it for each call."""
+    """The active bundle and its lookup tables."""
 
     bundle: bundles.Bundle
     digest: str = ""
@@ -44,10 +44,10 @@
     _routes: dict[tuple[str, str], list[bundles.Route]] = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.ranks = {one.name: one.rank for one in self.bundle.classes}
-        self.services = {one.name: one for one in self.bundle.services}
+        self.ranks = {cls.name: cls.rank for cls in self.bundle.classes}
+        self.services = {service.name: service for service in self.bundle.services}
         self.once_services = frozenset(
-            one.service for one in self.bundle.routes if not one.repeatable
+            route.service for route in self.bundle.routes if not route.repeatable
         )
         self._routes = collections.defaultdict(list)
         for route in self.bundle.routes:
@@ -56,16 +56,16 @@
             routes.sort(key=lambda route: -len(route.path))
 
     def route(self, service: str, method: str, path: str) -> bundles.Route | None:
-        """Return the route with the longest path that `path` is at or below."""
+        """Return the route with the longest matching path prefix."""
         for route in self._routes.get((service, method), ()):
-            below = route.path.rstrip("/") + "/"
-            if path == route.path or path.startswith(below):
+            prefix = route.path.rstrip("/") + "/"
+            if path == route.path or path.startswith(prefix):
                 return route
         return None
 
 
 def make_active_bundle(verified: signing.Verified) -> ActiveBundle:
-    """Return what is looked up in a verified bundle."""
+    """Return a verified bundle with its lookup tables."""
     return ActiveBundle(
         bundle=verified.bundle,
         digest=verified.digest,
@@ -76,7 +76,7 @@
 
 @attrs.define(kw_only=True)
 class Context:
-    """The common ground of the parts of one daemon's core."""
+    """State shared by the parts of one daemon's core."""
 
     identity: Identity
     rng: random.Random
@@ -84,27 +84,25 @@
     active: ActiveBundle | None = None
     leaving: bool = False
     pending_effects: list[effects.Effect] = attrs.Factory(list)
-    loopback_messages: collections.deque[messages.Message] = attrs.Factory(
-        collections.deque
-    )
+    loopback: collections.deque[messages.Message] = attrs.Factory(collections.deque)
     timers: list[tuple[float, int, Any]] = attrs.Factory(list)
     _last_number: int = 0
 
     def next_number(self) -> int:
-        """Return a number that this incarnation has not used before."""
+        """Return a number that is unique within this incarnation."""
         self._last_number += 1
         return self._last_number
 
     def emit(self, effect: effects.Effect) -> None:
-        """Ask for an effect."""
+        """Add an effect for the driver to carry out."""
         self.pending_effects.append(effect)
 
     def send(
         self, box: str, address: str, incarnation: int, message: messages.Message
     ) -> None:
-        """Send a message to a daemon; to itself without the network."""
+        """Send a message to a daemon; messages to itself bypass the network."""
         if box == self.identity.box and incarnation == self.identity.incarnation:
-            self.loopback_messages.append(message)
+            self.loopback.append(message)
             return
         self.pending_effects.append(
             effects.SendPeer(
@@ -113,23 +111,23 @@
         )
 
     def count(self, name: str, label: str = "") -> None:
-        """Add one to a counter."""
+        """Increment a counter."""
         self.pending_effects.append(effects.Count(name=name, label=label))
 
     def audit(self, action: str, detail: str) -> None:
-        """Put a change of state on the audit trail."""
+        """Write a state change to the audit trail."""
         self.pending_effects.append(effects.Audit(action=action, detail=detail))
 
     def schedule(self, when: float, timer: Any) -> None:
-        """Have `timer` handled at `when`; a stale one is ignored by its handler."""
+        """Fire `timer` at `when`; handlers ignore timers that are out of date."""
         heapq.heappush(self.timers, (when, self.next_number(), timer))
 
     def pop_due_timer(self, now: float) -> Any | None:
-        """Return a timer whose time has come, or `None`."""
+        """Remove and return a timer that is due, or return `None`."""
         if not self.timers or self.timers[0][0] > now:
             return None
         return heapq.heappop(self.timers)[2]
 
     def jittered_ms(self, base_s: float) -> int:
-        """Return a time to come back, ms, so that callers don't return together."""
+        """Return a random time of one to two times `base_s`, in milliseconds."""
         return int(1000 * base_s * (1 + self.rng.random()))
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -157,10 +157,8 @@
             self.serving.target.apply_bundle(now)
             self.shard_owner.apply_bundle(now)
             self.forwarder.retry_policy.budgets.clear()
-        while self.ctx.loopback_messages:
-            self._on_message(
-                now, self._own_envelope(now), self.ctx.loopback_messages.popleft()
-            )
+        while self.ctx.loopback:
+            self._on_message(now, self._own_envelope(now), self.ctx.loopback.popleft())
 
     def _on_event(self, now: float, event: events.Event) -> None:
         match event:
--- a/ferrydeck/signed/core/headers.py
+++ b/ferrydeck/signed/core/headers.py
@@ -1,4 +1,4 @@
-"""The header fields that the layer reads, adds or keeps to itself."""
+"""The HTTP header fields that the daemon reads, adds or removes."""
 
 from __future__ import annotations
 
@@ -41,11 +41,11 @@
         RETRY_AFTER_MS,
     }
 )
-"""Fields that are not passed on: they belong to one connection or to this layer."""
+"""Fields that are not forwarded: hop-by-hop fields and the daemon's own."""
 
 
 def get(headers: Iterable[messages.Header], name: str) -> str:
-    """Return the value of the first field of that name, or nothing."""
+    """Return the value of the first field with a name, or an empty string."""
     for header in headers:
         if header.name == name:
             return header.value
@@ -55,5 +55,5 @@
 def end_to_end(
     headers: Iterable[messages.Header],
 ) -> tuple[messages.Header, ...]:
-    """Return the fields that go on to the next hop."""
+    """Return the fields that are forwarded to the next hop."""
     return tuple(header for header in headers if header.name not in HOP_BY_HOP)
--- a/ferrydeck/signed/core/intake.py
+++ b/ferrydeck/signed/core/intake.py
@@ -100,7 +100,7 @@
             deadline = min(deadline, parent.expires)
             depth = parent.depth + 1
             rank = min(rank, priority.rank_of(parent.priority))
-        if parent is not None and self.ctx.policy.consistent_priority:
+        if parent is not None and self.ctx.policy.same_hash:
             request_id = parent.request_id
         allowance = self.ctx.active.bundle.retry.allowance
         if event.local and parent is None and self.ctx.policy.share_retry_allowance:
@@ -141,8 +141,7 @@
                 call.charged_as_retry = True
                 return call
             return self._reject_spent(call, may_have_run=True)
-        # Resends of a non-repeatable call are free: the owner of the key runs it once,
-        # and a caller must be able to ask again after an unknown outcome.
+        # Resends of a non-repeatable call are free: the key's owner runs it only once.
         if not call.key or not call.route.repeatable:
             return call
         return self._charge_resend(now, call)
--- a/ferrydeck/signed/core/local_target.py
+++ b/ferrydeck/signed/core/local_target.py
@@ -66,8 +66,8 @@
         fresh = admission.Admission(
             slots=service.slots,
             started_at=now if self.admission is None else self.admission.started_at,
-            limited=self.ctx.policy.limit_concurrency,
-            ordered=self.ctx.policy.order_by_priority,
+            limited=self.ctx.policy.limited,
+            ordered=self.ctx.policy.prioritised,
         )
         if self.admission is not None:
             fresh.running = self.admission.running
--- a/ferrydeck/signed/core/policies.py
+++ b/ferrydeck/signed/core/policies.py
@@ -1,4 +1,4 @@
-"""The ways that the decisions can take, so that replay can compare them."""
+"""Configurable overload control mechanisms, which replays compare."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class RoundRobin:
-    """Take the boxes in turn."""
+    """Choose the boxes in turn."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class LeastOfTwo:
-    """Take the less loaded of two boxes drawn at random."""
+    """Choose the less loaded of two random boxes."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class LeastOfAll:
-    """Take the least loaded of all boxes."""
+    """Choose the least loaded of all boxes."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class IdleQueue:
-    """Take a box known as idle, else the less loaded of `d` drawn at random."""
+    """Choose a random idle box, or else the least loaded of `sample_size` boxes."""
 
     sample_size: int
 
@@ -32,28 +32,28 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Policy:
-    """Which mechanisms are on; the default is what ships."""
+    """The mechanisms that are enabled; production uses the defaults."""
 
     box_chooser: BoxChooser = LeastOfTwo()
-    limit_concurrency: bool = True
-    """Hold a concurrency limit at the target's daemon."""
-    order_by_priority: bool = True
-    """Order the queue by class and shed from its end."""
-    consistent_priority: bool = True
-    """Take the hash of the request along the chain, the same at every hop."""
+    limited: bool = True
+    """Limit the concurrency of each target at its daemon."""
+    prioritised: bool = True
+    """Queue requests by priority and shed the lowest first."""
+    same_hash: bool = True
+    """Hash the entry's request ID for the priority at every hop of a call chain."""
     shed_at_caller: bool = True
-    """Refuse at the caller's daemon by the level that the target announced."""
+    """Shed calls at the caller's daemon by the admission level of the target."""
     share_retry_allowance: bool = True
-    """Split one retry allowance along the chain, not a fresh one a hop."""
+    """Share one retry allowance along a call chain instead of one per hop."""
     limit_retry_ratio: bool = True
-    """Hold retries to a share of fresh calls."""
+    """Limit retries to a ratio of the calls to a service."""
 
 
 BASELINE = Policy(
     box_chooser=RoundRobin(),
-    limit_concurrency=False,
-    order_by_priority=False,
-    consistent_priority=False,
+    limited=False,
+    prioritised=False,
+    same_hash=False,
     shed_at_caller=False,
     share_retry_allowance=False,
     limit_retry_ratio=False,
@@ -61,18 +61,13 @@
 
 POLICIES_BY_NAME = {
     "baseline": BASELINE,
-    "limit": attrs.evolve(BASELINE, limit_concurrency=True),
-    "order": attrs.evolve(BASELINE, limit_concurrency=True, order_by_priority=True),
-    "coherent": attrs.evolve(
-        BASELINE,
-        limit_concurrency=True,
-        order_by_priority=True,
-        consistent_priority=True,
-    ),
+    "limit": attrs.evolve(BASELINE, limited=True),
+    "order": attrs.evolve(BASELINE, limited=True, prioritised=True),
+    "coherent": attrs.evolve(BASELINE, limited=True, prioritised=True, same_hash=True),
     "retry": attrs.evolve(BASELINE, share_retry_allowance=True, limit_retry_ratio=True),
     "no-early": Policy(shed_at_caller=False),
-    "no-coherence": Policy(consistent_priority=False),
-    "no-order": Policy(order_by_priority=False),
+    "no-coherence": Policy(same_hash=False),
+    "no-order": Policy(prioritised=False),
     "no-split": Policy(share_retry_allowance=False, limit_retry_ratio=False),
     "round-robin": Policy(box_chooser=RoundRobin()),
     "least-of-all": Policy(box_chooser=LeastOfAll()),
--- a/ferrydeck/signed/core/replies.py
+++ b/ferrydeck/signed/core/replies.py
@@ -1,8 +1,7 @@
-"""Replies of the target's daemon that don't come from the target.
+"""Replies that the target's daemon sends on its own: rejections and unknown outcomes.
 
-Relies on `retry_after` for the time to come back and on `local_target` for the
-load that goes with each reply. Removes the jobs that it answers from the table of
-`serving`, which owns it.
+Each carries the load of `local_target` and a time from `retry_after`. Jobs rejected
+together by `reject_key` are removed from the job table, which belongs to `serving`.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 @attrs.define(kw_only=True)
 class ReplySender:
-    """Sends replies to the daemons that jobs came from."""
+    """Sends replies to the daemons that forwarded the jobs."""
 
     ctx: context.Context
     target: local_target.LocalTarget
@@ -25,9 +24,9 @@
     def reject(
         self, now: float, job: jobs.Job, reason: messages.Reason, *, owner: str = ""
     ) -> None:
-        """Reply that a job did not start and never will."""
+        """Reply that a job was not started and never will be."""
         self.ctx.count("refusals", reason)
-        rejected = messages.Refused(
+        refusal = messages.Refused(
             attempt=job.forward.attempt,
             reason=reason,
             retry_after_ms=self.ctx.jittered_ms(retry_after.TARGET_REJECTED_S),
@@ -35,10 +34,10 @@
             load=self.target.load(now, job.forward),
             owner=owner,
         )
-        self.send(job, rejected)
+        self.send(job, refusal)
 
     def reject_key(self, now: float, job: jobs.Job, reason: messages.Reason) -> None:
-        """Reject a job, and with it all that wait for the same key."""
+        """Reject a job and all others that wait for the same key."""
         if job.key_record is None:
             self.jobs.pop(jobs.attempt_id(job), None)
             self.reject(now, job, reason)
@@ -57,7 +56,7 @@
         reason: messages.Reason,
         retry_after_s: float = retry_after.OUTCOME_UNKNOWN_S,
     ) -> None:
-        """Reply that a job, or an earlier sending of its key, may have run."""
+        """Reply that a job, or an earlier request with its key, may have run."""
         uncertain = messages.Uncertain(
             attempt=job.forward.attempt,
             reason=reason,
@@ -67,6 +66,6 @@
         self.send(job, uncertain)
 
     def send(self, job: jobs.Job, message: messages.Message) -> None:
-        """Send a message to the daemon that the job came from."""
+        """Send a message to the daemon that forwarded a job."""
         sender = job.sender
         self.ctx.send(sender.box, sender.address, sender.incarnation, message)
--- a/ferrydeck/signed/core/retry_after.py
+++ b/ferrydeck/signed/core/retry_after.py
@@ -1,16 +1,16 @@
-"""When rejected callers are asked to come back, seconds.
+"""Base values of the retry-after time that rejected callers are told, in seconds.
 
-`Context.spread_ms` draws the time that is sent: between one and two times the
-figure here, so that callers rejected together don't return together.
+`Context.jittered_ms` adds jitter of up to the base value, so that callers that are
+rejected together don't retry together.
 """
 
 from __future__ import annotations
 
 ENTRY_REJECTED_S = 0.5
-"""The caller's own daemon found no box, or lost the one that it had asked."""
+"""The caller's daemon rejected the request or lost its box."""
 TARGET_REJECTED_S = 0.2
-"""The target's daemon rejected the attempt, or was restarted since it was sent."""
+"""The target's daemon rejected the attempt or was restarted."""
 OUTCOME_UNKNOWN_S = 1.0
-"""The request may have run, and its fate is not known at the target's daemon."""
+"""The target's daemon doesn't know whether the request has run."""
 SHARD_MOVING_S = 0.1
-"""The key's shard changes hands, which takes some milliseconds."""
+"""The shard of the key is moving to another owner, which takes milliseconds."""
--- a/ferrydeck/signed/core/retry_limits.py
+++ b/ferrydeck/signed/core/retry_limits.py
@@ -1,45 +1,45 @@
-"""The bound on retries: an allowance that is split, never copied, and a budget."""
+"""Limits on retries: an allowance per request and a budget per service."""
 
 from __future__ import annotations
 
 import attrs
 
 MAX_BUDGET_TOKENS = 10.0
-"""Retries that a quiet service may make before its share counts."""
+"""Initial and maximum number of retries that a budget holds."""
 
 
 @attrs.define(kw_only=True)
 class RetryAllowance:
-    """The extra attempts that are left to one request at one hop.
+    """The retries left for one request at one hop.
 
-    What a hop hands to a child leaves the ledger; what the child did not use
-    comes back with its answer. No answer means that it is spent. So the sum
-    over all hops never exceeds what the request started with.
+    A share moves to the next hop with each attempt, and the unused part returns with
+    its answer; without an answer it counts as spent. So all hops together never exceed
+    the initial allowance.
     """
 
     remaining: int
     seen_fingerprints: set[int] = attrs.Factory(set)
-    """Fingerprints of the calls that were made for this request here."""
+    """Fingerprints of the nested calls made for this request at this hop."""
 
     def take_child_share(self) -> int:
-        """Take the part for a child out: all but one kept for this hop's own use."""
-        part = self.remaining - 1 if self.remaining > 1 else self.remaining
-        self.remaining -= part
-        return part
+        """Take the next hop's share: all but one, or all if only one is left."""
+        share = self.remaining - 1 if self.remaining > 1 else self.remaining
+        self.remaining -= share
+        return share
 
     def refund(self, unused: int) -> None:
-        """Put back what a child did not use."""
+        """Return the part of a share that was not used."""
         self.remaining += max(0, unused)
 
     def try_spend(self) -> bool:
-        """Take one extra attempt; false where none is left."""
+        """Charge one retry; return false if none is left."""
         if self.remaining < 1:
             return False
         self.remaining -= 1
         return True
 
     def is_new_call(self, fingerprint: int) -> bool:
-        """Return whether a call is fresh; the same call again is a retry."""
+        """Return whether a nested call is new; a repeated one counts as a retry."""
         if fingerprint in self.seen_fingerprints:
             return False
         self.seen_fingerprints.add(fingerprint)
@@ -48,17 +48,17 @@
 
 @attrs.define(kw_only=True)
 class RetryBudget:
-    """Retries towards one service, held to a share of its fresh calls."""
+    """Token bucket that limits retries to a ratio of the calls to a service."""
 
     ratio: float
     tokens: float = MAX_BUDGET_TOKENS
 
     def record_call(self) -> None:
-        """Count a fresh call."""
+        """Add the tokens earned by a new call."""
         self.tokens = min(self.tokens + self.ratio, MAX_BUDGET_TOKENS)
 
     def try_spend(self) -> bool:
-        """Take one retry; false where the share is used up."""
+        """Charge one retry; return false if the budget is used up."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/ferrydeck/signed/core/retry_policy.py
+++ b/ferrydeck/signed/core/retry_policy.py
@@ -1,9 +1,7 @@
-"""Whether a call is tried again after an attempt, and after which pause.
+"""Decides whether a call is retried after a failed attempt, and after which delay.
 
-Inputs are the call and why its attempt ended. A call is given up if the reason is
-final, no other box is left, its time or allowance is spent, or retries have used up
-their share of the service's fresh calls. Owns the budgets by service; relies on
-`routing` for the boxes, and on the call's own ledger for the allowance.
+A call is given up if the reason is final, no untried box is left, its deadline has
+passed, or its retry allowance or the retry budget of its service is used up.
 """
 
 from __future__ import annotations
@@ -14,24 +12,24 @@
 from ferrydeck.signed.wire import messages
 
 MOVING_BACKOFF_S = 0.02
-"""Pause before the retry of a call whose shard changes hands, seconds."""
+"""Base delay before retrying a call whose shard is changing its owner."""
 MOVING_BACKOFF_FACTOR = 3
-"""Factor by which that pause grows with each attempt."""
+"""Growth of this delay with each attempt."""
 
 OWNER_CHANGE_REASONS = frozenset(
     {messages.Reason.MOVING, messages.Reason.NOT_OWNER, messages.Reason.NO_LEASE}
 )
-"""Rejections that come of a shard that changes hands: the box may be asked again."""
+"""The shard is changing its owner, so the same box may be tried again."""
 BUDGET_EXEMPT_REASONS = OWNER_CHANGE_REASONS | {
     messages.Reason.LEAVING,
     messages.Reason.INCARNATION,
     messages.Reason.NOT_SENT,
 }
-"""Rejections that come of a change of boxes, not of load: no budget is asked."""
+"""Rejections caused by membership changes, not by load."""
 NON_RETRYABLE_REASONS = frozenset(
     {messages.Reason.KEY_MISMATCH, messages.Reason.RETRIES_SPENT}
 )
-"""Rejections that every other box would repeat."""
+"""Rejections that every other box would return too."""
 OWNER_REASONS = frozenset(
     {
         messages.Reason.OVERLOAD,
@@ -45,26 +43,26 @@
         messages.Reason.NO_ANSWER,
     }
 )
-"""Rejections that the owner of a key sends after it looked the key up."""
+"""Rejections that the owner of a key returns after checking its state."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Retry:
-    """Try again after `pause_s`, seconds; 0 for at once. The retry is spent."""
+    """Retry after `delay_s`; the retry has already been charged."""
 
     delay_s: float = 0.0
 
 
 @attrs.define(kw_only=True, frozen=True)
 class GiveUp:
-    """Answer the caller; the call itself may have run or not."""
+    """Answer the caller without another attempt."""
 
     may_have_run: bool
 
 
 @attrs.define(kw_only=True)
 class RetryPolicy:
-    """Decides on retries of the calls that came in at this daemon."""
+    """Decides about retries and keeps the retry budgets of the services."""
 
     ctx: context.Context
     router: routing.Router
@@ -73,10 +71,10 @@
     def after_rejection(
         self, now: float, call: calls.Call, box: str, reason: messages.Reason
     ) -> Retry | GiveUp:
-        """Decide on a call that `box` rejected: this attempt has not run.
+        """Decide after `box` rejected an attempt without running it.
 
-        Of a call that must not run twice, an earlier sending of the key may have
-        run, unless the owner of the key itself rejects it.
+        An earlier request with the key of a non-repeatable call may have run, unless
+        the rejection comes from the key's owner.
         """
         by_owner = not call.route.repeatable and reason in OWNER_REASONS
         give_up = GiveUp(may_have_run=not call.route.repeatable and not by_owner)
@@ -88,17 +86,17 @@
             return give_up
         if reason not in OWNER_CHANGE_REASONS or call.owner_hint not in ("", box):
             return Retry()
-        pause_s = MOVING_BACKOFF_S * MOVING_BACKOFF_FACTOR**call.attempts
-        return Retry(delay_s=min(pause_s, call.remaining_s(now) / 2))
+        delay_s = MOVING_BACKOFF_S * MOVING_BACKOFF_FACTOR**call.attempts
+        return Retry(delay_s=min(delay_s, call.remaining_s(now) / 2))
 
     def after_uncertain(self, now: float, call: calls.Call) -> Retry | GiveUp:
-        """Decide on a call whose attempt may have run."""
+        """Decide after an attempt that may have run."""
         if call.route.repeatable and self.try_spend(now, call):
             return Retry()
         return GiveUp(may_have_run=True)
 
     def after_lost_link(self, now: float, call: calls.Call) -> Retry | GiveUp:
-        """Decide on a call whose box was lost: no answer will come."""
+        """Decide after the connection to the box of an attempt was lost."""
         if not call.route.repeatable or call.cancelling:
             return GiveUp(may_have_run=True)
         if not self._has_untried_box(call):
@@ -106,10 +104,10 @@
         return self.after_uncertain(now, call)
 
     def leaves_unresponsive_box(self, now: float, call: calls.Call) -> bool:
-        """Return whether a call is tried elsewhere because its box is silent.
+        """Return whether to retry a call elsewhere because its box is unresponsive.
 
-        A box that is slow but sends messages is waited for: the same work begun
-        anew elsewhere would only add to the load.
+        A slow box that still sends messages is not abandoned, because running the same
+        work elsewhere would only add load.
         """
         if not call.route.repeatable:
             return False
@@ -120,31 +118,31 @@
         return self.try_spend(now, call)
 
     def record_call(self, service: str) -> None:
-        """Count a fresh call to a service, which earns a share of a retry."""
+        """Credit the retry budget of a service for a new call."""
         self._budget(service).record_call()
 
     def try_spend(self, now: float, call: calls.Call, *, budgeted: bool = True) -> bool:
-        """Take one retry from what the request and the service have left."""
+        """Charge a retry to the call's allowance and the service's budget."""
         if call.remaining_s(now) <= 0:
             return False
         if call.allowance.remaining < 1:
             self.ctx.count("retries_denied", "allowance")
             return False
-        asks_budget = budgeted and self.ctx.policy.limit_retry_ratio
-        if asks_budget and not self._budget(call.service).try_spend():
+        use_budget = budgeted and self.ctx.policy.limit_retry_ratio
+        if use_budget and not self._budget(call.service).try_spend():
             self.ctx.count("retries_denied", "budget")
             return False
         return call.allowance.try_spend()
 
-    def _has_untried_box(self, call: calls.Call, *besides: str) -> bool:
-        """Return whether a box of the service was not tried yet."""
-        tried = {*call.tried_boxes, *besides}
+    def _has_untried_box(self, call: calls.Call, *excluded: str) -> bool:
+        """Return whether the service has another box that was not tried."""
+        tried = {*call.tried_boxes, *excluded}
         peers = self.router.candidates(call.service)
         return any(peer.member.box not in tried for peer in peers)
 
     def _budget(self, service: str) -> retry_limits.RetryBudget:
         budget = self.budgets.get(service)
         if budget is None:
-            share = self.ctx.active.bundle.retry.budget
-            budget = self.budgets[service] = retry_limits.RetryBudget(ratio=share)
+            ratio = self.ctx.active.bundle.retry.budget
+            budget = self.budgets[service] = retry_limits.RetryBudget(ratio=ratio)
         return budget
--- a/tests/promises/test_shed_order.py
+++ b/tests/promises/test_shed_order.py
@@ -61,7 +61,7 @@
 
 
 def test_without_the_order_postings_are_refused_too():
-    made = ledger(1, policies.Policy(order_by_priority=False, shed_at_caller=False))
+    made = ledger(1, policies.Policy(prioritised=False, shed_at_caller=False))
     load(made, 3 * CAPACITY, MIX)
     assert outcomes(made)["payment-posting"]["not-run"] > 20
 
