--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -27,7 +27,7 @@
     policy_distribution,
     registry,
 )
-from ferrydeck.mesh.outbound import choosing, intake, outbound
+from ferrydeck.mesh.outbound import balancing, outbound, request_builder
 from ferrydeck.mesh.poison import crash_detection, records, tracker
 from ferrydeck.mesh.teams import access, policy_freshness, quota, quota_exchange
 
@@ -70,7 +70,7 @@
         self.peers = peer_table.PeerTable(ctx=ctx)
         self.incoming_links = incoming_links.IncomingLinks(ctx=ctx)
         suspects = tracker.PoisonTracker(
-            ctx=ctx, records=records.SuspectRecords(), report=self._send_suspects
+            ctx=ctx, records=records.SuspectRecords(), send_reports=self._send_suspects
         )
         self.inbound = inbound.Inbound(
             ctx=ctx, reply=self._reply, announce=self._announce, suspects=suspects
@@ -84,9 +84,9 @@
         )
         self.outbound = outbound.Outbound(
             ctx=ctx,
-            intake=intake.Intake(ctx=ctx, inbound=self.inbound),
+            builder=request_builder.RequestBuilder(ctx=ctx, inbound=self.inbound),
             peers=self.peers,
-            chooser=choosing.Chooser(ctx=ctx, peers=self.peers, inbound=self.inbound),
+            picker=balancing.Picker(ctx=ctx, peers=self.peers, inbound=self.inbound),
             inbound=self.inbound,
             access=access.AccessControl(
                 ctx=ctx,
@@ -102,7 +102,7 @@
             peers=self.peers,
             incoming_links=self.incoming_links,
             inbound=self.inbound,
-            splits=self.outbound.intake.splits,
+            splits=self.outbound.builder.splits,
             policy_freshness=self.policy_freshness,
             quota_exchange=self.coordination,
         )
@@ -185,7 +185,7 @@
             case events.TargetFailed():
                 self.inbound.crashes.request_failed(now, event)
             case events.CallerGone(conn=conn):
-                self.outbound.caller_gone(now, conn)
+                self.outbound.caller_disconnected(now, conn)
             case events.CallerRead(conn=conn, size=size):
                 self.outbound.caller_read(now, conn, size)
             case events.OutgoingLinkUp(address=address):
@@ -211,16 +211,16 @@
     def _on_timer(self, now: float, timer: Any) -> None:
         match timer:
             case outbound.DeadlineTimer(number=number):
-                self.outbound.deadline(now, number)
-            case outbound.SearchTimer(number=number):
-                self.outbound.search_again(now, number)
-            case outbound.SilentTimer():
-                self.outbound.check_silent(now)
+                self.outbound.deadline_reached(now, number)
+            case outbound.TargetSearchTimer(number=number):
+                self.outbound.retry_search(now, number)
+            case outbound.SilenceCheckTimer():
+                self.outbound.check_silent_boxes(now)
             case request_queue.QueueTimer():
                 self.inbound.check_queue(now)
-            case crash_detection.CrashTimer():
+            case crash_detection.VerdictTimer():
                 self.inbound.crashes.resolve_lost_runs(now)
-            case tracker.ReportTimer():
+            case tracker.ClearedReportTimer():
                 self.inbound.suspects.report_cleared()
             case target_watch.ProbeTimer():
                 self.inbound.target.probe(now)
@@ -269,13 +269,13 @@
             return
         match message:
             case messages.Answer():
-                self.outbound.answered(now, peer, message)
+                self.outbound.answer_received(now, peer, message)
             case messages.AnswerPart():
-                self.outbound.part(now, peer, message)
+                self.outbound.answer_part_received(now, peer, message)
             case messages.Rejected():
-                self.outbound.rejected(now, peer, message)
+                self.outbound.attempt_rejected(now, peer, message)
             case messages.Broken():
-                self.outbound.broken(now, peer, message)
+                self.outbound.attempt_broken(now, peer, message)
             case messages.Pong(version=version, load=load):
                 self.policies.pong_received(message)
                 peer.update_load(now, load)
@@ -369,13 +369,13 @@
             return
         match message:
             case messages.Answer():
-                self.outbound.answered(now, None, message)
+                self.outbound.answer_received(now, None, message)
             case messages.AnswerPart():
-                self.outbound.part(now, None, message)
+                self.outbound.answer_part_received(now, None, message)
             case messages.Rejected():
-                self.outbound.rejected(now, None, message)
+                self.outbound.attempt_rejected(now, None, message)
             case messages.Broken():
-                self.outbound.broken(now, None, message)
+                self.outbound.attempt_broken(now, None, message)
 
     def _announce(self, now: float) -> None:
         """Send the target state of this box to all linked daemons."""
--- a/ferrydeck/mesh/inbound/crash_handling.py
+++ b/ferrydeck/mesh/inbound/crash_handling.py
@@ -46,7 +46,7 @@
             self.runs.end(now, req)
             self.results.send_rejection(now, req, messages.Reason.NOT_SENT)
         if event.refused:
-            self.suspects.crash_detector.checked(refused=True)
+            self.suspects.crash_detector.health_check_done(refused=True)
             self.resolve_lost_runs(now)
         self.queue.start_next(now)
 
@@ -57,7 +57,7 @@
         if not detector.lost:
             return
         if event.refused or event.answered:
-            detector.checked(refused=event.refused)
+            detector.health_check_done(refused=event.refused)
         else:
             self.target.check(now)
         self.resolve_lost_runs(now)
@@ -70,12 +70,12 @@
         verdict = detector.verdict(now, self.runs.by_dispatch)
         match verdict:
             case crash_detection.Verdict.UNDECIDED:
-                self.ctx.at(detector.settles_at(), crash_detection.CrashTimer())
+                self.ctx.at(detector.settle_deadline(), crash_detection.VerdictTimer())
                 return
             case crash_detection.Verdict.ALL_LOST:
-                self.ctx.at(detector.confirmed_by(), crash_detection.CrashTimer())
+                self.ctx.at(detector.confirm_deadline(), crash_detection.VerdictTimer())
                 return
-        lost = detector.take(self.runs.by_dispatch)
+        lost = detector.take_lost(self.runs.by_dispatch)
         reason = messages.Reason.TARGET_LOST
         if verdict is crash_detection.Verdict.CRASHED:
             reason = messages.Reason.TARGET_CRASHED
@@ -93,12 +93,12 @@
         Copies of a suspect that run here are stopped where they may be retried: where
         copies reach ten boxes within 10 ms, only the first one crashes a target.
         """
-        for req in self.suspects.running_copies(now, changed, self.runs.by_dispatch):
+        for req in self.suspects.running_suspects(now, changed, self.runs.by_dispatch):
             if req.forward.retryable and not req.streaming:
                 self.ctx.emit(effects.CancelDispatch(dispatch=req.dispatch))
-                self.suspects.stopped(now, req)
+                self.suspects.run_stopped(now, req)
                 self.results.end_unanswered(now, req, messages.Reason.SUSPECT)
-        for req in self.suspects.isolation.blocked():
+        for req in self.suspects.isolation.blocked_requests():
             self.queue.reject_suspect(now, req, messages.Reason.BLOCKED)
         self.queue.start_next(now)
 
@@ -108,4 +108,4 @@
         if not detector.add(now, req, self.runs.by_dispatch):
             return
         self.target.check(now)
-        self.ctx.at(now + crash_detection.SETTLE_S, crash_detection.CrashTimer())
+        self.ctx.at(now + crash_detection.SETTLE_TIME_S, crash_detection.VerdictTimer())
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -169,7 +169,7 @@
         req = self._request(now, link, forward, delay_s)
         self._count_arrival(now, forward)
         self._update_price(now)
-        suspect = self.suspects.record_of(now, forward)
+        suspect = self.suspects.find_suspect(now, forward)
         match self._admission(now, req, suspect):
             case admission.Rejected(reason=messages.Reason.RETRY_BUDGET as reason):
                 figures = self.retry_budget.snapshot()
@@ -333,7 +333,7 @@
         """End a run that was answered; one that succeeded is known good."""
         self.runs.end(now, req, whole=whole)
         if whole:
-            self.suspects.succeeded(now, req)
+            self.suspects.run_succeeded(now, req)
 
     def _target_rejected(
         self, now: float, req: inbound_request.InboundRequest, facts: events.AnswerFacts
@@ -367,7 +367,7 @@
 
     def _target_opened(self, now: float) -> None:
         """Announce that the target takes work."""
-        self.suspects.incarnation_began()
+        self.suspects.incarnation_started()
         self.announce(now)
 
     def _target_closed(self, now: float, reason: messages.Reason) -> None:
--- a/ferrydeck/mesh/inbound/request_queue.py
+++ b/ferrydeck/mesh/inbound/request_queue.py
@@ -121,11 +121,11 @@
     def start_next(self, now: float) -> None:
         """Start waiting requests while there is room, suspects first."""
         isolation = self.suspects.isolation
-        while self.runs.has_room and (req := isolation.next()) is not None:
+        while self.runs.has_room and (req := isolation.pop_next()) is not None:
             self._start(now, req)
         while self.waiting and self.runs.has_room:
             req = self.waiting.pop()
-            record = self.suspects.record_of(now, req.forward)
+            record = self.suspects.find_suspect(now, req.forward)
             if record is not None:
                 isolation.enqueue(req, record)
                 continue
@@ -151,7 +151,7 @@
 
     def reject_all(self, now: float, reason: messages.Reason) -> None:
         """Reject all that wait."""
-        for req in [*self.waiting.clear(), *self.suspects.isolation.clear()]:
+        for req in [*self.waiting.clear(), *self.suspects.isolation.pop_all()]:
             self.runs.forget(req)
             self.results.send_rejection(now, req, reason)
 
--- a/ferrydeck/mesh/inbound/runs.py
+++ b/ferrydeck/mesh/inbound/runs.py
@@ -33,7 +33,7 @@
     target: target_watch.TargetWatch
     costs: pricing.Costs
     retry_budget: retry_budget.RetryBudget
-    isolation: isolation.Isolation
+    isolation: isolation.IsolationQueue
     by_dispatch: dict[int, inbound_request.InboundRequest] = attrs.Factory(dict)
     """The runs at the target, the oldest first."""
     answered_at: float = 0.0
--- a/ferrydeck/mesh/leaving.py
+++ b/ferrydeck/mesh/leaving.py
@@ -76,7 +76,7 @@
         if since_s >= INBOUND_CLOSES_S and not self.inbound.stopping:
             self.inbound.stop(now)
             self.ctx.emit(effects.StopAccepting())
-        self.outbound.closed = since_s >= STAY_S
+        self.outbound.stopping = since_s >= STAY_S
         progress = Progress(
             since_s=since_s,
             grace_s=self.ctx.limits.grace_s,
--- a/ferrydeck/mesh/outbound/choosing.py
+++ b/ferrydeck/mesh/outbound/balancing.py
@@ -25,10 +25,10 @@
 """How old the report of another target may be to be compared with, seconds: a daemon
 has one of each of 95 targets every ten to twenty seconds only, and a report from before
 all of them began to fail says nothing of now."""
-SCAN_MOST = 12
+MAX_FULL_SCAN = 12
 """Targets of a service up to which each is scored for each request."""
-NEAR_SAMPLE = 4
-FAR_SAMPLE = 4
+NEAR_SAMPLE_SIZE = 4
+FAR_SAMPLE_SIZE = 4
 """Targets that are drawn of more, in the own data centre and in others: a choice then
 costs the same with a hundred targets as with ten. A daemon has a report of each of many
 targets every ten seconds or so, and what it knows has faded: the best of all by its few
@@ -83,7 +83,7 @@
 
 
 @attrs.define(kw_only=True)
-class Chooser:
+class Picker:
     """Chooses among the targets of a service."""
 
     ctx: context.Context
@@ -92,7 +92,7 @@
     _groups: dict[str, Group] = attrs.Factory(dict)
     """The daemons with targets, by service."""
 
-    def choose(
+    def pick(
         self,
         now: float,
         service: str,
@@ -117,7 +117,7 @@
                 best = Remote(peer=peer, incarnation=peer.target_state.incarnation)
         return best
 
-    def choose_for_suspect(
+    def pick_for_suspect(
         self,
         now: float,
         service: str,
@@ -159,10 +159,10 @@
             return _takes(now, peer, tried, only)
 
         everyone = [*group.near, *group.far]
-        if only is not None or len(everyone) <= SCAN_MOST:
+        if only is not None or len(everyone) <= MAX_FULL_SCAN:
             return [one for one in everyone if takes(one)]
-        found = self._sample(group.near, NEAR_SAMPLE, takes)
-        found += self._sample(group.far, FAR_SAMPLE, takes)
+        found = self._sample(group.near, NEAR_SAMPLE_SIZE, takes)
+        found += self._sample(group.far, FAR_SAMPLE_SIZE, takes)
         return found or [one for one in everyone if takes(one)]
 
     def _sample(
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -14,12 +14,12 @@
 from ferrydeck.mesh.members import failure_detector, peer_table, peers
 from ferrydeck.mesh.outbound import (
     attempts,
-    choosing,
-    intake,
+    balancing,
     open_requests,
     outbound_request,
     replies,
     reports,
+    request_builder,
     retry_after,
     retrying,
 )
@@ -42,14 +42,14 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class SearchTimer:
+class TargetSearchTimer:
     """Time to look for a target again."""
 
     number: int
 
 
 @attrs.define(kw_only=True, frozen=True)
-class SilentTimer:
+class SilenceCheckTimer:
     """Time to look for requests at silent boxes."""
 
 
@@ -59,14 +59,14 @@
 
     ctx: context.Context
     peers: peer_table.PeerTable
-    chooser: choosing.Chooser
+    picker: balancing.Picker
     inbound: inbound.Inbound
-    intake: intake.Intake
+    builder: request_builder.RequestBuilder
     access: access.AccessControl
     attempts: attempts.Attempts = attrs.field(init=False)
     reports: reports.Reports = attrs.field(init=False)
     requests: open_requests.OpenRequests = attrs.field(init=False)
-    closed: bool = False
+    stopping: bool = False
     """Whether no further request is taken, since the daemon is about to end."""
 
     def __attrs_post_init__(self) -> None:
@@ -80,14 +80,14 @@
 
     def start(self, now: float) -> None:
         """Begin to look for requests at silent boxes."""
-        self.ctx.at(now + SILENT_EVERY_S, SilentTimer())
+        self.ctx.at(now + SILENT_EVERY_S, SilenceCheckTimer())
 
     def request_received(self, now: float, request: events.RequestReceived) -> None:
         """Take a caller's request, or reject it at once."""
         if self.ctx.policy is None:
             self._decline(request, messages.Reason.NO_POLICY)
             return
-        if self.closed:
+        if self.stopping:
             self._decline(request, messages.Reason.STOPPING)
             return
         route = self.ctx.policy.find(request.host, request.path)
@@ -111,12 +111,12 @@
         if suspect is not None and suspect.blocked:
             self._reject_blocked(now, request, team, suspect)
             return
-        req = self.intake.make(now, request, route, team)
+        req = self.builder.make(now, request, route, team)
         self.requests.add(req)
         self.ctx.at(req.deadline - DEADLINE_MARGIN_S, DeadlineTimer(number=req.number))
         self._try(now, req)
 
-    def caller_gone(self, now: float, conn: int) -> None:
+    def caller_disconnected(self, now: float, conn: int) -> None:
         """Drop the request of a caller that went away."""
         req = self.requests.by_conn.get(conn)
         if req is None:
@@ -130,7 +130,7 @@
         if req is not None and req.current_attempt:
             self.attempts.credit(now, req, size)
 
-    def answered(
+    def answer_received(
         self, now: float, peer: peers.Peer | None, message: messages.Answer
     ) -> None:
         """Give the caller the target's answer, or ask another target."""
@@ -152,7 +152,7 @@
         replies.reply(self.ctx, req, message)
         self.requests.finish(now, req, "answered", str(message.status))
 
-    def part(
+    def answer_part_received(
         self, now: float, peer: peers.Peer | None, message: messages.AnswerPart
     ) -> None:
         """Pass a further part of a long answer on."""
@@ -166,7 +166,7 @@
             self.attempts.end(req)
             self.requests.finish(now, req, "answered", "stream")
 
-    def broken(
+    def attempt_broken(
         self, now: float, peer: peers.Peer | None, message: messages.Broken
     ) -> None:
         """Act on an attempt that may have run and gives no whole answer."""
@@ -178,7 +178,7 @@
             req.take_back(self._address(peer))
         self._lost(now, req, message.reason)
 
-    def rejected(
+    def attempt_rejected(
         self, now: float, peer: peers.Peer | None, message: messages.Rejected
     ) -> None:
         """Act on an attempt that was not run."""
@@ -202,7 +202,7 @@
                 self._lost(now, req, messages.Reason.LINK_LOST)
         peer.in_flight.clear()
 
-    def deadline(self, now: float, number: int) -> None:
+    def deadline_reached(self, now: float, number: int) -> None:
         """Give a caller whose time is over its final answer."""
         req = self.requests.by_number.get(number)
         if req is None or req.streaming:
@@ -211,15 +211,15 @@
         self.attempts.withdraw(now, req)
         self._follow(now, req, retrying.at_deadline(req.progress(now), sent=sent))
 
-    def search_again(self, now: float, number: int) -> None:
+    def retry_search(self, now: float, number: int) -> None:
         """Look for a target again."""
         req = self.requests.by_number.get(number)
         if req is not None and not req.current_attempt:
             self._try(now, req)
 
-    def check_silent(self, now: float) -> None:
+    def check_silent_boxes(self, now: float) -> None:
         """Retry requests that are at silent boxes at other ones."""
-        self.ctx.at(now + SILENT_EVERY_S, SilentTimer())
+        self.ctx.at(now + SILENT_EVERY_S, SilenceCheckTimer())
         for peer in self.peers.by_address.values():
             if not peer.in_flight or not failure_detector.is_silent(now, peer):
                 continue
@@ -244,25 +244,25 @@
             step = retrying.unserved(req.progress(now), messages.Reason.BLOCKED)
             self._follow(now, req, step, suspect.left_s(now))
             return
-        match self._choice(now, req, suspect):
-            case choosing.NoTarget():
+        match self._pick(now, req, suspect):
+            case balancing.NoTarget():
                 self._without_target(now, req)
-            case choosing.Local(incarnation=incarnation):
+            case balancing.Local(incarnation=incarnation):
                 self.attempts.send(now, req, None, incarnation)
-            case choosing.Remote(peer=peer, incarnation=incarnation):
+            case balancing.Remote(peer=peer, incarnation=incarnation):
                 self.attempts.send(now, req, peer, incarnation)
 
-    def _choice(
+    def _pick(
         self,
         now: float,
         req: outbound_request.OutboundRequest,
         suspect: records.SuspectRecord | None,
-    ) -> choosing.Choice:
+    ) -> balancing.Choice:
         full = len(req.targets) >= req.route.max_attempts
         only = req.targets if full else None
         if suspect is None:
-            return self.chooser.choose(now, req.service, req.tried, only)
-        return self.chooser.choose_for_suspect(
+            return self.picker.pick(now, req.service, req.tried, only)
+        return self.picker.pick_for_suspect(
             now, req.service, suspect.fingerprint, req.tried, only
         )
 
@@ -296,7 +296,7 @@
             case retrying.SearchAgain():
                 req.tried.clear()
                 again_at = now + retrying.SEARCH_PAUSE_S
-                self.ctx.at(again_at, SearchTimer(number=req.number))
+                self.ctx.at(again_at, TargetSearchTimer(number=req.number))
             case retrying.Reject(reason=reason):
                 self.requests.reject(now, req, reason, retry_after_s)
             case retrying.GiveUp(status=status, reason=reason):
@@ -311,7 +311,7 @@
         peer: peers.Peer | None,
         message: messages.Answer,
     ) -> retrying.Retry | retrying.Deliver:
-        outlier = self.chooser.outlier(now, peer, req.service)
+        outlier = self.picker.outlier(now, peer, req.service)
         return retrying.after_failed_answer(
             req.progress(now),
             outlier=outlier and self.ctx.switches.repeat_failed,
--- a/ferrydeck/mesh/outbound/intake.py
+++ b/ferrydeck/mesh/outbound/request_builder.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(kw_only=True)
-class Intake:
+class RequestBuilder:
     """Finds a request's service, priority, parent run and time of use."""
 
     ctx: context.Context
--- a/ferrydeck/mesh/poison/crash_detection.py
+++ b/ferrydeck/mesh/poison/crash_detection.py
@@ -17,7 +17,7 @@
 
 from ferrydeck.mesh.inbound import inbound_request
 
-SETTLE_S = 0.005
+SETTLE_TIME_S = 0.005
 """Pause after a lost run until there is a verdict, seconds: a daemon reads the closing
 of 150 connections in turn, each some tenths of a millisecond after another."""
 SETTLE_MOST_S = 0.05
@@ -41,7 +41,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class CrashTimer:
+class VerdictTimer:
     """Time for a verdict."""
 
 
@@ -73,16 +73,16 @@
         self._last_at = now
         return first
 
-    def checked(self, *, refused: bool) -> None:
+    def health_check_done(self, *, refused: bool) -> None:
         """Take the answer to a health check, or that the connection was refused."""
         self.refused |= refused
         self.answered |= not refused
 
-    def settles_at(self) -> float:
+    def settle_deadline(self) -> float:
         """Return when no more losses of this moment are expected."""
-        return min(self._last_at + SETTLE_S, self._first_at + SETTLE_MOST_S)
+        return min(self._last_at + SETTLE_TIME_S, self._first_at + SETTLE_MOST_S)
 
-    def confirmed_by(self) -> float:
+    def confirm_deadline(self) -> float:
         """Return until when to wait for the answer to the health check."""
         return self._first_at + SETTLE_MOST_S + CONFIRM_S
 
@@ -90,15 +90,15 @@
         """Return what is known by now."""
         if self.refused:
             return Verdict.CRASHED
-        if now < self.settles_at():
+        if now < self.settle_deadline():
             return Verdict.UNDECIDED
-        if self.answered or now >= self.confirmed_by():
+        if self.answered or now >= self.confirm_deadline():
             return Verdict.SINGLE
         if any(one in running for one in self._not_lost()):
             return Verdict.SINGLE
         return Verdict.ALL_LOST
 
-    def take(
+    def take_lost(
         self, running: dict[int, inbound_request.InboundRequest]
     ) -> list[inbound_request.InboundRequest]:
         """Return what was lost, and begin anew.
--- a/ferrydeck/mesh/poison/isolation.py
+++ b/ferrydeck/mesh/poison/isolation.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(kw_only=True)
-class Isolation:
+class IsolationQueue:
     """The suspects at one target, and those that wait for it."""
 
     waiting: list[WaitingSuspect] = attrs.Factory(list)
@@ -57,7 +57,7 @@
         """Note that a run has ended, of a suspect or not."""
         self.running.pop(dispatch, None)
 
-    def next(self) -> inbound_request.InboundRequest | None:
+    def pop_next(self) -> inbound_request.InboundRequest | None:
         """Take the next suspect that may run out, `None` while there is none.
 
         One that has to run alone goes first: it would wait for ever behind groups.
@@ -76,11 +76,11 @@
         """Return the suspects that run at the target."""
         return {one.fingerprint for one in self.running.values() if one.uncleared}
 
-    def blocked(self) -> list[inbound_request.InboundRequest]:
+    def blocked_requests(self) -> list[inbound_request.InboundRequest]:
         """Return those that wait and may not run any more."""
         return [one.req for one in self.waiting if one.record.blocked]
 
-    def clear(self) -> list[inbound_request.InboundRequest]:
+    def pop_all(self) -> list[inbound_request.InboundRequest]:
         """Take all that wait out."""
         taken = [one.req for one in self.waiting]
         self.waiting.clear()
--- a/ferrydeck/mesh/poison/records.py
+++ b/ferrydeck/mesh/poison/records.py
@@ -107,7 +107,7 @@
         record = self.by_fingerprint.get(fingerprints.whole(head, body()))
         return record if record is not None and record.uncleared else None
 
-    def of_forward(self, forward: messages.Forward) -> SuspectRecord | None:
+    def find_forward(self, forward: messages.Forward) -> SuspectRecord | None:
         """Return the record of an inbound request, if it is a suspect."""
         if not self._heads:
             return None
--- a/ferrydeck/mesh/poison/tracker.py
+++ b/ferrydeck/mesh/poison/tracker.py
@@ -41,7 +41,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class ReportTimer:
+class ClearedReportTimer:
     """Time to report to the other daemons which suspects were cleared."""
 
 
@@ -60,9 +60,9 @@
 
     ctx: context.Context
     records: records.SuspectRecords
-    report: Callable[[list[messages.SuspectReport]], None]
+    send_reports: Callable[[list[messages.SuspectReport]], None]
     """Sends reports to all other daemons."""
-    isolation: isolation.Isolation = attrs.Factory(isolation.Isolation)
+    isolation: isolation.IsolationQueue = attrs.Factory(isolation.IsolationQueue)
     crash_detector: crash_detection.CrashDetector = attrs.Factory(
         crash_detection.CrashDetector
     )
@@ -78,18 +78,18 @@
     )
     """Reports of suspects that were cleared and not reported yet."""
 
-    def succeeded(self, now: float, req: inbound_request.InboundRequest) -> None:
+    def run_succeeded(self, now: float, req: inbound_request.InboundRequest) -> None:
         """Take a request that succeeded as known good, and clear it."""
         self.known_good.add(req.forward)
-        record = self.records.of_forward(req.forward)
+        record = self.records.find_forward(req.forward)
         if record is not None:
             self._clear(now, record, req.forward)
 
-    def record_of(
+    def find_suspect(
         self, now: float, forward: messages.Forward
     ) -> records.SuspectRecord | None:
         """Return the record of a request that is a suspect and not known good."""
-        record = self.records.of_forward(forward)
+        record = self.records.find_forward(forward)
         if record is None or forward not in self.known_good:
             return record
         self._clear(now, record, forward)
@@ -98,7 +98,7 @@
     def report_cleared(self) -> None:
         """Report to the other daemons which suspects were cleared."""
         reports, self._cleared = list(self._cleared.values()), {}
-        self.report(reports)
+        self.send_reports(reports)
 
     def target_crashed(
         self, now: float, lost: list[inbound_request.InboundRequest]
@@ -124,22 +124,22 @@
         if not suspects or not self.ctx.switches.remember_suspects:
             return
         isolated = self.isolation.isolated()
-        self.report(self.records.attribute(now, crash, suspects, isolated))
+        self.send_reports(self.records.attribute(now, crash, suspects, isolated))
         for fingerprint in suspects:
             record = self.records.by_fingerprint.get(fingerprint)
             if record is not None and record.runs_alone:
                 outcome = "condemned" if record.blocked else "suspected"
                 self._note(record, ran[fingerprint].forward.request_id, outcome)
 
-    def incarnation_began(self) -> None:
+    def incarnation_started(self) -> None:
         """Forget what is known good: another incarnation may run other software."""
         self.known_good.clear()
 
-    def stopped(self, now: float, req: inbound_request.InboundRequest) -> None:
+    def run_stopped(self, now: float, req: inbound_request.InboundRequest) -> None:
         """Remember a run that this daemon stopped; it may yet crash the target."""
         self._stopped.append((now, req))
 
-    def running_copies(
+    def running_suspects(
         self,
         now: float,
         changed: list[records.SuspectRecord],
@@ -149,7 +149,7 @@
         suspects = [one for one in changed if one.uncleared]
         if not suspects:
             return []
-        found = [(req, self.record_of(now, req.forward)) for req in running.values()]
+        found = [(req, self.find_suspect(now, req.forward)) for req in running.values()]
         return [req for req, record in found if record in suspects]
 
     def _clear(
@@ -157,7 +157,7 @@
     ) -> None:
         self._note(record, forward.request_id, "excused")
         if not self._cleared:
-            self.ctx.at(now + REPORT_S, ReportTimer())
+            self.ctx.at(now + REPORT_S, ClearedReportTimer())
         self._cleared[record.fingerprint] = self.records.clear(now, record)
 
     def _crash_number(self, now: float, incarnation: str) -> int:
--- a/tests/mesh/poison/test_memory.py
+++ b/tests/mesh/poison/test_memory.py
@@ -72,7 +72,7 @@
     rng = random.Random(1)
     for end in range(100, 200):
         made.attribute(2.0, end, [rng.randbytes(16) for _ in range(160)])
-    assert made.of_forward(blocked).blocked
+    assert made.find_forward(blocked).blocked
 
 
 @pytest.mark.parametrize(
@@ -87,13 +87,13 @@
 )
 def test_only_the_same_request_of_the_same_caller_is_meant(other):
     made = known(forward(), crashes=3)
-    assert made.of_forward(forward()).blocked
-    assert made.of_forward(other) is None
+    assert made.find_forward(forward()).blocked
+    assert made.find_forward(other) is None
 
 
 def test_the_id_and_the_box_make_no_difference():
     made = known(forward(), crashes=3)
-    assert made.of_forward(forward(request_id="r2", caller="book")).blocked
+    assert made.find_forward(forward(request_id="r2", caller="book")).blocked
 
 
 def test_no_body_is_hashed_while_nothing_else_of_the_request_is_suspect():
@@ -108,23 +108,23 @@
 
 def test_words_may_come_late_twice_and_in_any_order():
     first, second = known(forward()), known(forward(), crashes=3)
-    record = second.of_forward(forward())
+    record = second.find_forward(forward())
     words = [first.reports(1.0), second.reports(1.0), [second.clear(1.0, record)]]
     orders = [(0, 1, 2), (2, 1, 0), (1, 2, 1, 0, 0)]
     for order in orders:
         made = records.SuspectRecords()
         for word in order:
             made.merge(1.0, words[word])
-        assert made.of_forward(forward()) is None
+        assert made.find_forward(forward()) is None
         [held] = made.by_fingerprint.values()
         assert len(held.crashes) == 3
 
 
 def test_it_is_forgotten_after_its_time():
     made = known(forward(), crashes=3)
-    assert made.of_forward(forward()).left_s(1.0) == records.KEPT_S
+    assert made.find_forward(forward()).left_s(1.0) == records.KEPT_S
     made.reports(1.0 + records.KEPT_S + 1.0)
-    assert made.of_forward(forward()) is None
+    assert made.find_forward(forward()) is None
 
 
 def test_calm_daemons_say_no_word_of_it():
--- a/tests/mesh/test_health.py
+++ b/tests/mesh/test_health.py
@@ -42,12 +42,12 @@
 def test_servers_that_all_fail_get_requests_alike():
     world = samples.world_of(4, slots=30)
     world.run(1)
-    chooser = world.boxes["box-0"].core.outbound.chooser
+    picker = world.boxes["box-0"].core.outbound.picker
     others = list(world.boxes["box-0"].core.peers.by_address.values())
     for peer, share in zip(others, (0.3, 0.4, 0.5), strict=True):
         peer.reported_failure_ratio, peer.load_reported_at = share, world.now
     for _ in range(4):
         world.boxes["box-0"].core.inbound.health.count(world.now, failed=True)
     own = {world.boxes["box-0"].address}
-    chosen = [chooser.choose(world.now, "desk", own).peer.box for _ in range(300)]
+    chosen = [picker.pick(world.now, "desk", own).peer.box for _ in range(300)]
     assert min(chosen.count(peer.box) for peer in others) > 60
--- a/tests/mesh/test_size.py
+++ b/tests/mesh/test_size.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ferrydeck.mesh.members import peer_table
-from ferrydeck.mesh.outbound import choosing
+from ferrydeck.mesh.outbound import balancing
 from tests.mesh import samples
 
 SIZES = (15, 60, 120)
@@ -14,19 +14,19 @@
 @pytest.mark.parametrize("boxes", SIZES)
 def test_a_choice_looks_at_a_bounded_number_of_gates(boxes, monkeypatch):
     world = samples.world_of(boxes, data_centres=5)
-    chooser = world.boxes["box-0"].core.outbound.chooser
+    picker = world.boxes["box-0"].core.outbound.picker
     scored = []
-    score = choosing.Chooser._score
+    score = balancing.Picker._score
 
     def counted(self, now, peer, group):
         scored.append(peer)
         return score(self, now, peer, group)
 
-    monkeypatch.setattr(choosing.Chooser, "_score", counted)
+    monkeypatch.setattr(balancing.Picker, "_score", counted)
     for step in range(100):
-        chooser.choose(world.now + step * 0.001, "desk", set())
-    most = choosing.NEAR_SAMPLE + choosing.FAR_SAMPLE
-    assert len(scored) <= 100 * max(most, min(boxes, choosing.SCAN_MOST))
+        picker.pick(world.now + step * 0.001, "desk", set())
+    most = balancing.NEAR_SAMPLE_SIZE + balancing.FAR_SAMPLE_SIZE
+    assert len(scored) <= 100 * max(most, min(boxes, balancing.MAX_FULL_SCAN))
     assert len(set(scored)) > min(boxes, 40) / 2, "draws reach most of them"
 
 
