--- a/ferrydeck/mesh/outbound/__init__.py
+++ b/ferrydeck/mesh/outbound/__init__.py
@@ -1,1 +1,1 @@
-"""The outbound side: requests that begin on this box, from intake to final answer."""
+"""Outbound proxy: sends requests of this box's callers to targets."""
--- a/ferrydeck/mesh/outbound/attempts.py
+++ b/ferrydeck/mesh/outbound/attempts.py
@@ -1,7 +1,7 @@
-"""The attempts that are out: one sending of a request to one target each.
+"""Attempts in progress: each sends a request to one target once.
 
-Owns the table of attempts by number; relies on `peer_table` to reach other daemons, and
-on the inbound side of this box where the target is its own.
+Attempts go to other daemons through `peer_table`, and to the target of this box through
+its inbound side.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @attrs.define(kw_only=True)
 class Attempts:
-    """Sends requests, and finds them again by what is received about them."""
+    """Sends requests and matches incoming messages to them."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
@@ -30,7 +30,7 @@
         peer: peers.Peer | None,
         incarnation: str,
     ) -> None:
-        """Send a request to an incarnation at a peer, `None` for this box's own."""
+        """Send a request to a target incarnation; `peer` is `None` for this box."""
         number = self.ctx.number()
         req.current_attempt = number
         req.peer = peer
@@ -49,7 +49,7 @@
     def find(
         self, peer: peers.Peer | None, number: int
     ) -> outbound_request.OutboundRequest | None:
-        """Return the request whose attempt a message from a peer is about."""
+        """Return the request whose current attempt at a peer has this number."""
         req = self.by_number.get(number)
         if req is not None and req.peer is peer:
             return req
@@ -58,15 +58,15 @@
         return None
 
     def end(self, req: outbound_request.OutboundRequest) -> None:
-        """Forget the attempt that is out, where there is one."""
+        """Remove the current attempt of a request, if any."""
         self.by_number.pop(req.current_attempt, None)
         if req.peer is not None:
             req.peer.in_flight.pop(req.current_attempt, None)
         req.current_attempt = 0
         req.peer = None
 
-    def withdraw(self, now: float, req: outbound_request.OutboundRequest) -> None:
-        """Have the attempt that is out cancelled, where there is one."""
+    def cancel(self, now: float, req: outbound_request.OutboundRequest) -> None:
+        """Cancel the current attempt of a request, if any."""
         number, peer = req.current_attempt, req.peer
         if not number:
             return
@@ -76,10 +76,10 @@
         elif peer.link is peers.LinkState.UP:
             self.peers.send(now, peer, messages.Cancel(number=number))
 
-    def credit(
+    def send_credit(
         self, now: float, req: outbound_request.OutboundRequest, size: int
     ) -> None:
-        """Ask for `size` further bytes of a long answer."""
+        """Extend flow control by `size` bytes of a streamed response."""
         number = req.current_attempt
         if req.peer is None:
             self.inbound.credit(inbound.LOCAL_LINK, number, size)
@@ -90,10 +90,10 @@
         self, now: float, req: outbound_request.OutboundRequest, incarnation: str
     ) -> messages.Forward:
         received = req.received
-        retry = req.retry
-        if retry is messages.Retry.REJECTED and not _takes_rejected(req.peer):
+        retry = req.retry_kind
+        if retry is messages.Retry.REJECTED and not _supports_rejected(req.peer):
             retry = messages.Retry.NO
-        return _forward_of(
+        return _new_forward(
             req.team_name,
             number=req.current_attempt,
             request_id=req.request_id,
@@ -107,25 +107,25 @@
             sent_s=now,
             left_s=req.deadline - now,
             wait_s=max(0.0, req.give_up_at - now),
-            objective_s=req.late_at - now,
+            objective_s=req.objective_at - now,
             route=req.route.name,
             priority=req.priority,
             begins=req.parent is not None and not req.parent.calls,
-            lowest=req.lowest,
+            lowest=req.sheddable,
             retryable=req.route.retryable,
-            came_back=req.came_back,
+            came_back=req.caller_retry,
             first=req.sends == 1,
             retry=retry,
         )
 
 
-def _takes_rejected(peer: peers.Peer | None) -> bool:
-    """Return whether a daemon, `None` for this one, knows of rejected requests."""
+def _supports_rejected(peer: peers.Peer | None) -> bool:
+    """Return whether a peer, `None` for this box, supports `Retry.REJECTED`."""
     return peer is None or peer.protocol_version >= messages.RETRY_PROTOCOL
 
 
-def _forward_of(team: str, **values: object) -> messages.Forward:
-    """Return a request as it is sent to a daemon, with its team where it has one."""
+def _new_forward(team: str, **values: object) -> messages.Forward:
+    """Return the message that forwards a request, with its team if it has one."""
     if team:
         return messages.TeamForward(team=team, **values)
     return messages.Forward(**values)
--- a/ferrydeck/mesh/outbound/balancing.py
+++ b/ferrydeck/mesh/outbound/balancing.py
@@ -1,8 +1,8 @@
-"""The choice of a target: which box a request goes to.
+"""Load balancing: picks the target for a request.
 
-Owns the targets of each service, near and far, with what is usual among them; relies on
-`peer_table` for what other daemons report, on the inbound side for this box's target,
-and on `scoring` for what makes one target better than another.
+Groups the targets of each service by data centre and keeps a baseline of their speed
+and failures. The state of other targets comes from `peer_table`, that of this box's
+target from the inbound side; `scoring` rates them.
 """
 
 from __future__ import annotations
@@ -17,30 +17,26 @@
 from ferrydeck.mesh.outbound import scoring
 from ferrydeck.mesh.poison import fingerprints, isolation
 
-USUAL_QUANTILE = 0.25
-"""Part of the targets of a service that fail less often than is usual for it. The least
-of all would say nothing among many: of 95 targets that fail 0.3 of four requests a
-second each, one has always just failed none, and every failure would seem its own."""
-RECENT_S = 1.0
-"""How old the report of another target may be to be compared with, seconds: a daemon
-has one of each of 95 targets every ten to twenty seconds only, and a report from before
-all of them began to fail says nothing of now."""
+BASELINE_QUANTILE = 0.25
+"""Quantile of the failure ratios that is the baseline of a service. The minimum of many
+targets would be close to 0 at any time and make every other one an outlier."""
+MAX_REPORT_AGE_S = 1.0
+"""Maximum age of a load report that enters the failure baseline, seconds. Older ones
+may predate a failure that all targets share."""
 MAX_FULL_SCAN = 12
-"""Targets of a service up to which each is scored for each request."""
+"""Number of targets of a service up to which every one is scored."""
 NEAR_SAMPLE_SIZE = 4
 FAR_SAMPLE_SIZE = 4
-"""Targets that are drawn of more, in the own data centre and in others: a choice then
-costs the same with a hundred targets as with ten. A daemon has a report of each of many
-targets every ten seconds or so, and what it knows has faded: the best of all by its few
-fresh reports would be the same for all daemons."""
-DRAWS = 3
-"""Draws for each target of a sample, as some are closed or were tried."""
-USUAL_EVERY_S = 0.001
-"""How long what is usual among the targets of a service holds, seconds for each of
-them: to go through them then costs the same part of the time whatever their number."""
-FAILED_PROBE = 0.03
-"""Share of requests that are sent to a failing target all the same, so that it is
-noticed when it is healthy again."""
+"""Random sample sizes for larger services, in the own data centre and in others. They
+bound the cost and keep daemons with stale reports from all picking the same target."""
+DRAWS_PER_TARGET = 3
+"""Random draws per sampled target, since some draws are not eligible."""
+BASELINE_INTERVAL_S = 0.001
+"""Interval between updates of a baseline, seconds per target of the service. The share
+of time spent on them does not depend on the number of targets."""
+FAILING_PROBE_RATIO = 0.03
+"""Ratio of requests that ignore the failure penalty, to detect that a target has
+recovered."""
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -60,7 +56,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class NoTarget:
-    """No target of the service takes requests."""
+    """No target of the service accepts requests."""
 
 
 Choice = Local | Remote | NoTarget
@@ -68,29 +64,29 @@
 
 
 @attrs.define(kw_only=True)
-class Group:
-    """The daemons with targets of a service, this one not among them."""
+class TargetGroup:
+    """The peers that have a target of a service."""
 
     near: list[peers.Peer] = attrs.Factory(list)
-    """Those of the own data centre."""
+    """Peers in the data centre of this daemon."""
     far: list[peers.Peer] = attrs.Factory(list)
     fastest_ms: int = 0
-    """Service time of the fastest of the targets; 0 if not known."""
-    usual_failed: float = 0.0
-    """The share of failures that a quarter of the targets stay below."""
-    fresh_until: float = 0.0
-    """Until when these two hold."""
+    """Service time of the fastest target; 0 if unknown."""
+    baseline_failures: float = 0.0
+    """`BASELINE_QUANTILE` of the targets' failure ratios."""
+    valid_until: float = 0.0
+    """When `fastest_ms` and `baseline_failures` are recomputed."""
 
 
 @attrs.define(kw_only=True)
 class Picker:
-    """Chooses among the targets of a service."""
+    """Picks a target of a service for each request."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
     inbound: inbound.Inbound
-    _groups: dict[str, Group] = attrs.Factory(dict)
-    """The daemons with targets, by service."""
+    _groups: dict[str, TargetGroup] = attrs.Factory(dict)
+    """Target groups by service."""
 
     def pick(
         self,
@@ -99,17 +95,17 @@
         tried: set[str],
         only: set[str] | None = None,
     ) -> Choice:
-        """Return the target for a request; `tried` and `only` are addresses of daemons.
+        """Return the target with the lowest score; `tried` and `only` hold addresses.
 
-        A silent box gets nothing new, also where it is the only one: what is sent there
-        may have run, while a rejection lets its caller come back.
+        A box suspected of being down is never picked, even if no other is left: the
+        request might run there unnoticed, while a rejected caller can safely retry.
         """
         group = self._group(now, service)
         best: Choice = NO_TARGET
         best_score = float("inf")
-        if self._own_open(service, tried, only):
+        if self._local_open(service, tried, only):
             best = Local(incarnation=self.inbound.target.incarnation)
-            best_score = self._own_score(now, group)
+            best_score = self._local_score(now, group)
         for peer in self._candidates(now, group, tried, only):
             score = self._score(now, peer, group)
             if score < best_score:
@@ -125,23 +121,23 @@
         tried: set[str],
         only: set[str] | None = None,
     ) -> Choice:
-        """Return the target that all copies of a suspect go to, if it is open."""
+        """Return the eligible target to which all copies of a suspect are sent."""
         group = self._group(now, service)
-        everyone = [*group.near, *group.far]
+        all_peers = [*group.near, *group.far]
         found: dict[str, Choice] = {
             one.address: Remote(peer=one, incarnation=one.target_state.incarnation)
-            for one in everyone
-            if _takes(now, one, tried, only)
+            for one in all_peers
+            if _eligible(now, one, tried, only)
         }
-        if self._own_open(service, tried, only):
+        if self._local_open(service, tried, only):
             own = Local(incarnation=self.inbound.target.incarnation)
             found[self.ctx.identity.address] = own
         if not found:
             return NO_TARGET
         return found[isolation.owner(fingerprint, list(found))]
 
-    def _own_open(self, service: str, tried: set[str], only: set[str] | None) -> bool:
-        """Return whether this box's own target may be chosen."""
+    def _local_open(self, service: str, tried: set[str], only: set[str] | None) -> bool:
+        """Return whether this box's own target is eligible."""
         own = self.ctx.identity
         if own.service != service or own.address in tried:
             return False
@@ -151,51 +147,51 @@
         return ready and not self.inbound.stopping
 
     def _candidates(
-        self, now: float, group: Group, tried: set[str], only: set[str] | None
+        self, now: float, group: TargetGroup, tried: set[str], only: set[str] | None
     ) -> list[peers.Peer]:
-        """Return the daemons that are scored: all of few, a sample of many."""
+        """Return the peers to score: all of a small group, a sample of a large one."""
 
-        def takes(peer: peers.Peer) -> bool:
-            return _takes(now, peer, tried, only)
+        def eligible(peer: peers.Peer) -> bool:
+            return _eligible(now, peer, tried, only)
 
-        everyone = [*group.near, *group.far]
-        if only is not None or len(everyone) <= MAX_FULL_SCAN:
-            return [one for one in everyone if takes(one)]
-        found = self._sample(group.near, NEAR_SAMPLE_SIZE, takes)
-        found += self._sample(group.far, FAR_SAMPLE_SIZE, takes)
-        return found or [one for one in everyone if takes(one)]
+        all_peers = [*group.near, *group.far]
+        if only is not None or len(all_peers) <= MAX_FULL_SCAN:
+            return [one for one in all_peers if eligible(one)]
+        found = self._sample(group.near, NEAR_SAMPLE_SIZE, eligible)
+        found += self._sample(group.far, FAR_SAMPLE_SIZE, eligible)
+        return found or [one for one in all_peers if eligible(one)]
 
     def _sample(
         self,
         among: list[peers.Peer],
         count: int,
-        takes: Callable[[peers.Peer], bool],
+        eligible: Callable[[peers.Peer], bool],
     ) -> list[peers.Peer]:
-        """Return some daemons that take requests, by a few draws."""
+        """Return up to `count` eligible peers, drawn at random."""
         found: list[peers.Peer] = []
-        for _ in range(min(len(among), DRAWS * count)):
+        for _ in range(min(len(among), DRAWS_PER_TARGET * count)):
             peer = among[int(self.ctx.rng.random() * len(among))]
-            if peer not in found and takes(peer):
+            if peer not in found and eligible(peer):
                 found.append(peer)
             if len(found) == count:
                 break
         return found
 
-    def outlier(self, now: float, peer: peers.Peer | None, service: str) -> bool:
-        """Return whether a target that failed does so more often than others.
+    def is_outlier(self, now: float, peer: peers.Peer | None, service: str) -> bool:
+        """Return whether a target fails more often than the others of its service.
 
-        Where all fail alike the cause lies behind them, and a retry at another target
-        would only add to it. `peer` is `None` for the target of this box.
+        If all fail alike, a shared dependency is at fault and a retry only adds load
+        to it. `peer` is `None` for the target of this box.
         """
         own = self.inbound.health.failure_ratio(now)
         failed = own if peer is None else peer.estimated_failure_ratio(now)
         group = self._group(now, service)
-        usual = self._usual_failures(now, service, [*group.near, *group.far])
-        return scoring.outlier(failed, usual)
+        baseline = self._baseline_failures(now, service, [*group.near, *group.far])
+        return scoring.is_outlier(failed, baseline)
 
-    def _own_score(self, now: float, group: Group) -> float:
+    def _local_score(self, now: float, group: TargetGroup) -> float:
         own = self.inbound
-        return self._sum(
+        return self._total_score(
             own.busy / own.limit,
             False,
             now < own.target.cold_until,
@@ -204,8 +200,8 @@
             group,
         )
 
-    def _score(self, now: float, peer: peers.Peer, group: Group) -> float:
-        return self._sum(
+    def _score(self, now: float, peer: peers.Peer, group: TargetGroup) -> float:
+        return self._total_score(
             peer.estimated_in_flight(now) / max(1, peer.target_state.slots),
             peer.data_centre != self.ctx.identity.data_centre,
             now < peer.cold_until,
@@ -214,33 +210,33 @@
             group,
         )
 
-    def _sum(
+    def _total_score(
         self,
         load: float,
         far: bool,
         cold: bool,
         service_time_ms: int,
         failed: float,
-        group: Group,
+        group: TargetGroup,
     ) -> float:
-        """Return a target's score; `load` is a part of its slots."""
+        """Return a target's score; `load` is a ratio of its slots."""
         switches = self.ctx.switches
-        score = scoring.loaded(load) if switches.spill_early else load
+        score = scoring.load_score(load) if switches.spill_early else load
         if far and switches.prefer_near:
             score += scoring.FAR_PENALTY
         if cold and switches.avoid_cold:
-            score += scoring.COLD_PENALTY
+            score += scoring.COLD_START_PENALTY
         if switches.prefer_fast:
-            score += scoring.slow(service_time_ms, group.fastest_ms)
+            score += scoring.slow_penalty(service_time_ms, group.fastest_ms)
         draw = self.ctx.rng.random
         if switches.avoid_failing:
-            penalty = scoring.failing(failed, group.usual_failed)
-            if penalty and draw() >= FAILED_PROBE:
+            penalty = scoring.failure_penalty(failed, group.baseline_failures)
+            if penalty and draw() >= FAILING_PROBE_RATIO:
                 score += penalty
-        return score + scoring.JITTER * draw()
+        return score + scoring.MAX_JITTER * draw()
 
-    def _fastest(self, service: str, candidates: list[peers.Peer]) -> int:
-        """Return the service time of the fastest target, ms; 0 if not known."""
+    def _fastest_ms(self, service: str, candidates: list[peers.Peer]) -> int:
+        """Return the service time of the fastest target, ms; 0 if unknown."""
         service_times = [
             one.service_time_ms
             for one in candidates
@@ -250,52 +246,52 @@
             service_times.append(self.inbound.service_time_ms)
         return min(service_times, default=0)
 
-    def _usual_failures(
+    def _baseline_failures(
         self, now: float, service: str, candidates: list[peers.Peer]
     ) -> float:
-        """Return the share of failures that a quarter of the targets stay below."""
+        """Return `BASELINE_QUANTILE` of the targets' failure ratios."""
         shares = [
             one.estimated_failure_ratio(now)
             for one in candidates
-            if one.accepts_requests and now - one.load_reported_at <= RECENT_S
+            if one.accepts_requests and now - one.load_reported_at <= MAX_REPORT_AGE_S
         ]
         if self.ctx.identity.service == service:
             shares.append(self.inbound.health.failure_ratio(now))
         if not shares:
             return 0.0
         shares.sort()
-        return shares[int(USUAL_QUANTILE * (len(shares) - 1))]
+        return shares[int(BASELINE_QUANTILE * (len(shares) - 1))]
 
-    def _group(self, now: float, service: str) -> Group:
-        """Return the daemons with targets of a service, and what is usual there."""
+    def _group(self, now: float, service: str) -> TargetGroup:
+        """Return the target group of a service, with a current baseline."""
         if self.peers.candidates_changed:
             self.peers.candidates_changed = False
-            self._regroup()
+            self._rebuild_groups()
         group = self._groups.get(service)
         if group is None:
-            group = self._groups[service] = Group()
-        if now >= group.fresh_until:
-            known = [*group.near, *group.far]
-            group.fresh_until = now + USUAL_EVERY_S * len(known)
-            group.fastest_ms = self._fastest(service, known)
-            group.usual_failed = self._usual_failures(now, service, known)
+            group = self._groups[service] = TargetGroup()
+        if now >= group.valid_until:
+            all_peers = [*group.near, *group.far]
+            group.valid_until = now + BASELINE_INTERVAL_S * len(all_peers)
+            group.fastest_ms = self._fastest_ms(service, all_peers)
+            group.baseline_failures = self._baseline_failures(now, service, all_peers)
         return group
 
-    def _regroup(self) -> None:
-        """Sort the daemons by service, since some have changed."""
+    def _rebuild_groups(self) -> None:
+        """Regroup the peers by service after a change."""
         own = self.ctx.identity.data_centre
         self._groups = {}
         for peer in self.peers.by_address.values():
             if peer.target_state is None:
                 continue
-            group = self._groups.setdefault(peer.target_state.service, Group())
+            group = self._groups.setdefault(peer.target_state.service, TargetGroup())
             (group.near if peer.data_centre == own else group.far).append(peer)
 
 
-def _takes(
+def _eligible(
     now: float, peer: peers.Peer, tried: set[str], only: set[str] | None
 ) -> bool:
-    """Return whether another box's target may be chosen."""
+    """Return whether the target of a peer is eligible."""
     if (
         peer.address in tried
         or not peer.accepts_requests
--- a/ferrydeck/mesh/outbound/open_requests.py
+++ b/ferrydeck/mesh/outbound/open_requests.py
@@ -1,7 +1,6 @@
-"""The requests of this box's callers that have no final answer yet, and those answers.
+"""The table of this box's open requests, and their final responses.
 
-Owns the table of open requests; relies on `retrying` to decide that a request is over.
-A request leaves the table with its final answer, so it gets exactly one.
+A request is removed from the table with its final response, so it gets exactly one.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 @attrs.define(kw_only=True)
 class OpenRequests:
-    """Keeps open requests and gives them their final answers."""
+    """Tracks open requests and sends their final responses."""
 
     ctx: context.Context
     quota_enforcer: quota.QuotaEnforcer
@@ -23,7 +22,7 @@
     by_number: dict[int, outbound_request.OutboundRequest] = attrs.Factory(dict)
 
     def add(self, req: outbound_request.OutboundRequest) -> None:
-        """Keep a request until it has its final answer."""
+        """Track a request until its final response."""
         self.by_conn[req.conn] = req
         self.by_number[req.number] = req
 
@@ -34,11 +33,11 @@
         reason: str,
         retry_after_s: float,
     ) -> None:
-        """Answer that a request was not run, and when to come back."""
+        """Respond that a request was not run, with a `Retry-After`."""
         self.ctx.emit(
             effects.Reject(
                 conn=req.conn,
-                status=replies.NOT_RUN_STATUS,
+                status=replies.SERVICE_UNAVAILABLE,
                 reason=reason,
                 retry_after_s=retry_after_s,
             )
@@ -52,13 +51,13 @@
         status: int,
         reason: str,
     ) -> None:
-        """Answer that it is not known whether a request has run.
+        """Respond that a request may or may not have run.
 
-        Where a target has answered with a failure of its own, the caller gets that.
+        If a target responded with a server error, the caller gets that response.
         """
-        if req.failed is not None:
-            replies.reply(self.ctx, req, req.failed)
-            self.finish(now, req, "answered", str(req.failed.status))
+        if req.failed_answer is not None:
+            replies.reply(self.ctx, req, req.failed_answer)
+            self.finish(now, req, "answered", str(req.failed_answer.status))
             return
         self.ctx.emit(effects.Reject(conn=req.conn, status=status, reason=reason))
         self.finish(now, req, "unknown", reason)
@@ -66,7 +65,7 @@
     def abort(
         self, now: float, req: outbound_request.OutboundRequest, reason: str
     ) -> None:
-        """End the caller's connection in the middle of an answer."""
+        """Close the caller's connection in the middle of a response."""
         self.ctx.emit(effects.Abort(conn=req.conn))
         self.finish(now, req, "aborted", reason)
 
@@ -77,14 +76,14 @@
         outcome: str,
         reason: str,
     ) -> None:
-        """Forget a request that has its final answer, with a line in the log."""
+        """Remove a request that has its final response, and log the outcome."""
         self.by_conn.pop(req.conn, None)
         self.by_number.pop(req.number, None)
         if req.team is not None and outcome == "refused":
             self.quota_enforcer.refund(req.team)
         if req.parent is not None:
             req.parent.call_ended(now)
-        req.note(self.ctx, outcome, reason, ms=round(1000 * (now - req.started), 1))
+        req.log(self.ctx, outcome, reason, ms=round(1000 * (now - req.started), 1))
         self.ctx.emit(
             effects.Finished(
                 route=req.route.name, outcome=outcome, seconds=now - req.started
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -1,8 +1,8 @@
-"""The outbound side: requests that begin on this box, from intake to final answer.
+"""Proxies requests from callers on this box to targets, with retries.
 
-Takes each request through the parts that own something of it: `intake` makes it,
-`choosing` finds a target, `attempts` sends it, `retrying` decides what follows where an
-attempt brings no good answer, and `open_requests` gives it its final answer.
+Coordinates the modules of the package: `request_builder` prepares a request,
+`balancing` picks a target, `attempts` sends the request there, `retrying` decides what
+to do when an attempt fails, and `open_requests` sends the final response.
 """
 
 from __future__ import annotations
@@ -27,35 +27,35 @@
 from ferrydeck.mesh.teams import access, keys
 
 DEADLINE_MARGIN_S = 0.02
-"""How long before its deadline a request gets its final answer, seconds."""
-SILENT_EVERY_S = 0.1
-"""How often requests at silent boxes are looked for, seconds."""
-FAILED_STATUS = 500
-"""The least status of an answer that states a failure of the target."""
+"""Time before the deadline at which the final response is sent, seconds."""
+SILENCE_CHECK_INTERVAL_S = 0.1
+"""Interval between checks for requests at unresponsive boxes, seconds."""
+MIN_FAILURE_STATUS = 500
+"""Lowest HTTP status that counts as a failure of the target."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class DeadlineTimer:
-    """A caller has waited as long as it may."""
+    """Fires shortly before the deadline of a request."""
 
     number: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetSearchTimer:
-    """Time to look for a target again."""
+    """Fires when the search for an available target is to be repeated."""
 
     number: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class SilenceCheckTimer:
-    """Time to look for requests at silent boxes."""
+    """Fires when requests at unresponsive boxes are to be retried."""
 
 
 @attrs.define(kw_only=True)
 class Outbound:
-    """Carries the requests that begin on this box to targets and back."""
+    """Proxies requests of this box's callers to targets and returns the responses."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
@@ -67,7 +67,7 @@
     reports: reports.Reports = attrs.field(init=False)
     requests: open_requests.OpenRequests = attrs.field(init=False)
     stopping: bool = False
-    """Whether no further request is taken, since the daemon is about to end."""
+    """Whether new requests are rejected because the daemon is shutting down."""
 
     def __attrs_post_init__(self) -> None:
         self.attempts = attempts.Attempts(
@@ -79,11 +79,11 @@
         )
 
     def start(self, now: float) -> None:
-        """Begin to look for requests at silent boxes."""
-        self.ctx.at(now + SILENT_EVERY_S, SilenceCheckTimer())
+        """Start the periodic check for requests at unresponsive boxes."""
+        self.ctx.at(now + SILENCE_CHECK_INTERVAL_S, SilenceCheckTimer())
 
     def request_received(self, now: float, request: events.RequestReceived) -> None:
-        """Take a caller's request, or reject it at once."""
+        """Accept a caller's request, or reject it immediately."""
         if self.ctx.policy is None:
             self._decline(request, messages.Reason.NO_POLICY)
             return
@@ -92,7 +92,7 @@
             return
         route = self.ctx.policy.find(request.host, request.path)
         if route is None:
-            status = replies.NO_ROUTE_STATUS
+            status = replies.NOT_FOUND
             replies.decline(self.ctx, request, status, messages.Reason.NO_ROUTE, None)
             return
         checked = self.access.check(now, request, route)
@@ -107,41 +107,41 @@
             )
             return
         team = checked.team
-        suspect = self._suspect(request, team)
+        suspect = self._find_suspect(request, team)
         if suspect is not None and suspect.blocked:
             self._reject_blocked(now, request, team, suspect)
             return
-        req = self.builder.make(now, request, route, team)
+        req = self.builder.build(now, request, route, team)
         self.requests.add(req)
         self.ctx.at(req.deadline - DEADLINE_MARGIN_S, DeadlineTimer(number=req.number))
-        self._try(now, req)
+        self._pick_and_send(now, req)
 
     def caller_disconnected(self, now: float, conn: int) -> None:
-        """Drop the request of a caller that went away."""
+        """Cancel the request of a caller that has disconnected."""
         req = self.requests.by_conn.get(conn)
         if req is None:
             return
-        self.attempts.withdraw(now, req)
+        self.attempts.cancel(now, req)
         self.requests.finish(now, req, "caller-gone", "")
 
     def caller_read(self, now: float, conn: int, size: int) -> None:
-        """Have more of a long answer sent, since the caller has read `size` bytes."""
+        """Extend flow control by the `size` bytes that the caller has read."""
         req = self.requests.by_conn.get(conn)
         if req is not None and req.current_attempt:
-            self.attempts.credit(now, req, size)
+            self.attempts.send_credit(now, req, size)
 
     def answer_received(
         self, now: float, peer: peers.Peer | None, message: messages.Answer
     ) -> None:
-        """Give the caller the target's answer, or ask another target."""
+        """Return the target's response to the caller, or retry at another target."""
         req = self.attempts.find(peer, message.number)
         if req is None:
             return
-        self.reports.received(now, req, peer, message)
-        if message.status >= FAILED_STATUS:
+        self.reports.apply(now, req, peer, message)
+        if message.status >= MIN_FAILURE_STATUS:
             step = self._after_failed_answer(now, req, peer, message)
             if isinstance(step, retrying.Retry):
-                req.failed = message
+                req.failed_answer = message
                 self._retry(now, req, step.reason)
                 return
         if message.more:
@@ -155,7 +155,7 @@
     def answer_part_received(
         self, now: float, peer: peers.Peer | None, message: messages.AnswerPart
     ) -> None:
-        """Pass a further part of a long answer on."""
+        """Forward the next part of a streamed response."""
         req = self.attempts.find(peer, message.number)
         if req is None:
             return
@@ -169,84 +169,84 @@
     def attempt_broken(
         self, now: float, peer: peers.Peer | None, message: messages.Broken
     ) -> None:
-        """Act on an attempt that may have run and gives no whole answer."""
+        """Handle an attempt that may have run but gives no complete response."""
         req = self.attempts.find(peer, message.number)
         if req is None:
             return
-        self.reports.received(now, req, peer, message)
+        self.reports.apply(now, req, peer, message)
         if message.reason == messages.Reason.SUSPECT:
-            req.take_back(self._address(peer))
-        self._lost(now, req, message.reason)
+            req.retry_as_suspect(self._address(peer))
+        self._attempt_lost(now, req, message.reason)
 
     def attempt_rejected(
         self, now: float, peer: peers.Peer | None, message: messages.Rejected
     ) -> None:
-        """Act on an attempt that was not run."""
+        """Handle an attempt that was rejected without being run."""
         req = self.attempts.find(peer, message.number)
         if req is None:
             return
-        self.reports.received(now, req, peer, message)
+        self.reports.apply(now, req, peer, message)
         self.attempts.end(req)
         if message.target_asked:
             self._rejected_by_target(now, req, peer, message)
             return
         req.attempts -= 1
         step = retrying.after_daemon_rejection(req.progress(now), message.reason)
-        self._follow(now, req, step, message.retry_after_s)
+        self._apply(now, req, step, message.retry_after_s)
 
     def link_down(self, now: float, peer: peers.Peer) -> None:
-        """Act on the loss of a link: its attempts may have run."""
+        """Handle the loss of a link, whose attempts may have run."""
         for number in list(peer.in_flight):
             req = self.attempts.by_number.get(number)
             if req is not None:
-                self._lost(now, req, messages.Reason.LINK_LOST)
+                self._attempt_lost(now, req, messages.Reason.LINK_LOST)
         peer.in_flight.clear()
 
     def deadline_reached(self, now: float, number: int) -> None:
-        """Give a caller whose time is over its final answer."""
+        """Send the final response to a caller whose deadline has come."""
         req = self.requests.by_number.get(number)
         if req is None or req.streaming:
             return
         sent = bool(req.current_attempt)
-        self.attempts.withdraw(now, req)
-        self._follow(now, req, retrying.at_deadline(req.progress(now), sent=sent))
+        self.attempts.cancel(now, req)
+        self._apply(now, req, retrying.at_deadline(req.progress(now), sent=sent))
 
     def retry_search(self, now: float, number: int) -> None:
-        """Look for a target again."""
+        """Repeat the search for an available target."""
         req = self.requests.by_number.get(number)
         if req is not None and not req.current_attempt:
-            self._try(now, req)
+            self._pick_and_send(now, req)
 
     def check_silent_boxes(self, now: float) -> None:
-        """Retry requests that are at silent boxes at other ones."""
-        self.ctx.at(now + SILENT_EVERY_S, SilenceCheckTimer())
+        """Retry requests of unresponsive boxes at other boxes."""
+        self.ctx.at(now + SILENCE_CHECK_INTERVAL_S, SilenceCheckTimer())
         for peer in self.peers.by_address.values():
             if not peer.in_flight or not failure_detector.is_silent(now, peer):
                 continue
             for number in list(peer.in_flight):
                 req = self.attempts.by_number.get(number)
                 if req is not None and self.ctx.switches.move_from_silent:
-                    self._check_silent(now, req)
+                    self._retry_silent(now, req)
 
-    def _check_silent(self, now: float, req: outbound_request.OutboundRequest) -> None:
+    def _retry_silent(self, now: float, req: outbound_request.OutboundRequest) -> None:
         step = retrying.after_silence(req.progress(now))
         if isinstance(step, retrying.Retry):
-            self.attempts.withdraw(now, req)
+            self.attempts.cancel(now, req)
             self._retry(now, req, step.reason)
 
-    def _try(self, now: float, req: outbound_request.OutboundRequest) -> None:
-        """Send the request to a target, or decide what follows if there is none."""
-        if not retrying.enough_time(now, req.deadline):
-            self._follow(now, req, retrying.without_time(req.progress(now)))
+    def _pick_and_send(self, now: float, req: outbound_request.OutboundRequest) -> None:
+        """Send the request to a target, or handle that none is available."""
+        if not retrying.has_time_for_attempt(now, req.deadline):
+            self._apply(now, req, retrying.after_expiry(req.progress(now)))
             return
-        suspect = self._suspect(req.received, req.team)
+        suspect = self._find_suspect(req.received, req.team)
         if suspect is not None and suspect.blocked:
-            step = retrying.unserved(req.progress(now), messages.Reason.BLOCKED)
-            self._follow(now, req, step, suspect.left_s(now))
+            step = retrying.end_unanswered(req.progress(now), messages.Reason.BLOCKED)
+            self._apply(now, req, step, suspect.left_s(now))
             return
         match self._pick(now, req, suspect):
             case balancing.NoTarget():
-                self._without_target(now, req)
+                self._no_target_found(now, req)
             case balancing.Local(incarnation=incarnation):
                 self.attempts.send(now, req, None, incarnation)
             case balancing.Remote(peer=peer, incarnation=incarnation):
@@ -258,18 +258,18 @@
         req: outbound_request.OutboundRequest,
         suspect: records.SuspectRecord | None,
     ) -> balancing.Choice:
-        full = len(req.targets) >= req.route.max_attempts
-        only = req.targets if full else None
+        at_limit = len(req.rejected_by) >= req.route.max_attempts
+        allowed = req.rejected_by if at_limit else None
         if suspect is None:
-            return self.picker.pick(now, req.service, req.tried, only)
+            return self.picker.pick(now, req.service, req.tried, allowed)
         return self.picker.pick_for_suspect(
-            now, req.service, suspect.fingerprint, req.tried, only
+            now, req.service, suspect.fingerprint, req.tried, allowed
         )
 
-    def _suspect(
+    def _find_suspect(
         self, request: events.RequestReceived, team: keys.Team | None
     ) -> records.SuspectRecord | None:
-        """Return the record of a request under which targets crashed."""
+        """Return the crash record of a request, or `None` if it has none."""
         if self.inbound.suspects.records.empty:
             return None
         return self.inbound.suspects.records.find(
@@ -280,23 +280,23 @@
             body=lambda: request.body,
         )
 
-    def _follow(
+    def _apply(
         self,
         now: float,
         req: outbound_request.OutboundRequest,
         step: retrying.Step,
-        retry_after_s: float = retry_after.LEAST_S,
+        retry_after_s: float = retry_after.MIN_RETRY_AFTER_S,
     ) -> None:
-        """Carry out what was decided; `retry_after_s` goes with a rejection."""
+        """Execute a retry decision; a rejection carries `retry_after_s`."""
         match step:
             case retrying.Retry(reason=reason):
                 self._retry(now, req, reason)
             case retrying.TryElsewhere():
-                self._try(now, req)
+                self._pick_and_send(now, req)
             case retrying.SearchAgain():
                 req.tried.clear()
-                again_at = now + retrying.SEARCH_PAUSE_S
-                self.ctx.at(again_at, TargetSearchTimer(number=req.number))
+                search_at = now + retrying.SEARCH_INTERVAL_S
+                self.ctx.at(search_at, TargetSearchTimer(number=req.number))
             case retrying.Reject(reason=reason):
                 self.requests.reject(now, req, reason, retry_after_s)
             case retrying.GiveUp(status=status, reason=reason):
@@ -311,11 +311,11 @@
         peer: peers.Peer | None,
         message: messages.Answer,
     ) -> retrying.Retry | retrying.Deliver:
-        outlier = self.picker.outlier(now, peer, req.service)
+        outlier = self.picker.is_outlier(now, peer, req.service)
         return retrying.after_failed_answer(
             req.progress(now),
             outlier=outlier and self.ctx.switches.repeat_failed,
-            whole=not message.more,
+            complete=not message.more,
         )
 
     def _rejected_by_target(
@@ -325,42 +325,42 @@
         peer: peers.Peer | None,
         message: messages.Rejected,
     ) -> None:
-        req.targets.add(self._address(peer))
+        req.rejected_by.add(self._address(peer))
         step = retrying.after_target_rejection(
             req.progress(now), message.reason, retry_granted=message.retry_granted
         )
-        again = isinstance(step, retrying.TryElsewhere)
-        if again and len(req.targets) >= req.route.max_attempts:
+        resend = isinstance(step, retrying.TryElsewhere)
+        if resend and len(req.rejected_by) >= req.route.max_attempts:
             req.tried = {self._address(peer)}
-        self._follow(now, req, step, message.retry_after_s)
+        self._apply(now, req, step, message.retry_after_s)
 
-    def _without_target(
+    def _no_target_found(
         self, now: float, req: outbound_request.OutboundRequest
     ) -> None:
-        step = retrying.without_target(req.progress(now))
+        step = retrying.after_no_target(req.progress(now))
         if isinstance(step, retrying.SearchAgain):
-            self._follow(now, req, step)
+            self._apply(now, req, step)
             return
-        draw = self.ctx.rng.random()
-        after_s = retry_after.without_target(req.late_at - now, draw)
-        self._follow(now, req, step, after_s)
+        jitter = self.ctx.rng.random()
+        after_s = retry_after.no_target(req.objective_at - now, jitter)
+        self._apply(now, req, step, after_s)
 
-    def _lost(
+    def _attempt_lost(
         self, now: float, req: outbound_request.OutboundRequest, reason: str
     ) -> None:
-        """Act on an attempt of which no answer will come."""
+        """Handle an attempt whose response will never arrive."""
         self.attempts.end(req)
         req.may_have_run = True
-        self._follow(now, req, retrying.after_loss(req.progress(now), reason))
+        self._apply(now, req, retrying.after_lost_attempt(req.progress(now), reason))
 
     def _retry(
         self, now: float, req: outbound_request.OutboundRequest, reason: str
     ) -> None:
-        """Ask another target to run a request that may have run."""
+        """Retry a request that may have run at another target."""
         self.attempts.end(req)
         req.may_have_run = True
-        req.note(self.ctx, "repeated", reason)
-        self._try(now, req)
+        req.log(self.ctx, "repeated", reason)
+        self._pick_and_send(now, req)
 
     def _address(self, peer: peers.Peer | None) -> str:
         return self.ctx.identity.address if peer is None else peer.address
@@ -368,9 +368,9 @@
     def _decline(
         self, request: events.RequestReceived, reason: messages.Reason
     ) -> None:
-        """Reject a request that was not taken."""
+        """Reject a request before it is accepted."""
         after_s = retry_after.for_reason(reason)
-        status = replies.NOT_RUN_STATUS
+        status = replies.SERVICE_UNAVAILABLE
         replies.decline(self.ctx, request, status, reason, after_s)
 
     def _reject_blocked(
@@ -380,13 +380,13 @@
         team: keys.Team | None,
         suspect: records.SuspectRecord,
     ) -> None:
-        """Reject a request that is run no more, until its record is forgotten."""
+        """Reject a request that is blocked until its crash record expires."""
         if team is not None:
             self.access.quota_enforcer.refund(team)
         replies.decline(
             self.ctx,
             request,
-            replies.NOT_RUN_STATUS,
+            replies.SERVICE_UNAVAILABLE,
             messages.Reason.BLOCKED,
             suspect.left_s(now),
             digest=suspect.fingerprint.hex(),
--- a/ferrydeck/mesh/outbound/outbound_request.py
+++ b/ferrydeck/mesh/outbound/outbound_request.py
@@ -1,6 +1,6 @@
-"""A request that began on this box, from its intake to its final answer.
+"""State of a request from a caller on this box, until its final response.
 
-Owns the state of one request; `outbound` changes it and `retrying` judges it.
+`outbound` updates the state; `retrying` makes decisions from it.
 """
 
 from __future__ import annotations
@@ -16,87 +16,85 @@
 
 @attrs.define(kw_only=True, eq=False)
 class OutboundRequest:
-    """A request that began on this box and has no final answer yet."""
+    """A request from a caller on this box without a final response yet."""
 
     number: int
     conn: int
     route: policy.Route
     service: str
     received: events.RequestReceived
-    """What its caller sent."""
+    """The event with the request as its caller sent it."""
     started: float
     deadline: float
     give_up_at: float
-    """By when it is to be served to be of use; until then a target is looked for."""
-    late_at: float
-    """From when an answer is late, counted from the caller's first try."""
+    """When a response stops being useful and the search for a target ends."""
+    objective_at: float
+    """When the latency objective is missed, counted from the caller's first try."""
     tried: set[str] = attrs.Factory(set)
-    """Addresses of daemons that it is not sent to now."""
-    targets: set[str] = attrs.Factory(set)
+    """Addresses of daemons that are excluded from the next attempt."""
+    rejected_by: set[str] = attrs.Factory(set)
     """Addresses of daemons whose targets rejected it, at most the route's attempts."""
     sends: int = 0
-    """Daemons that it was sent to."""
+    """Number of daemons it was sent to."""
     attempts: int = 0
-    """Targets that were asked, also those that rejected it."""
+    """Number of targets it was offered to, including those that rejected it."""
     current_attempt: int = 0
-    """Number of the attempt that is out; 0 for none."""
+    """Number of the attempt in progress; 0 for none."""
     peer: peers.Peer | None = None
-    """Where the attempt is; `None` for this box's own target."""
-    taken_back: bool = False
-    """Whether a daemon has ended its run as that of a suspect."""
+    """Where the current attempt is; `None` for this box's own target."""
+    retried_as_suspect: bool = False
+    """Whether a run was cancelled because the request is suspected to crash targets."""
     may_have_run: bool = False
-    failed: messages.Answer | None = None
-    """A target's failure, for the caller if no other target gives an answer."""
+    failed_answer: messages.Answer | None = None
+    """A target's error response, returned if no other target responds."""
     streaming: bool = False
-    """Whether its caller has a part of the answer."""
+    """Whether the caller has received part of the response."""
     policy_version: int = 0
     priority: int = 0
-    """Place in the order of shedding: its route's, or that of the run it is made
-    for."""
-    lowest: bool = False
-    """Whether it is a caller's own request of the priority that is shed first."""
+    """Priority for load shedding, from its route or its parent; 0 is shed last."""
+    sheddable: bool = False
+    """Whether it has the priority that is shed first and no parent request."""
     parent: inbound_request.InboundRequest | None = None
-    """The run at this box's target that it is a call of."""
-    came_back: bool = False
-    """Whether its caller was rejected before and came back later."""
+    """The request that this box's target was running when it made this one."""
+    caller_retry: bool = False
+    """Whether it is a caller's retry after an earlier rejection."""
     team: keys.Team | None = None
-    """Whose it is; `None` for a call of a run, and for nobody's in particular."""
+    """Team it belongs to; `None` for nested requests and those without a team."""
 
     @property
     def request_id(self) -> str:
-        """The id that the caller gave."""
+        """Request id set by the caller."""
         return self.received.request_id
 
     @property
     def team_name(self) -> str:
-        """The name of the team whose it is; empty for none."""
+        """Name of its team; empty for none."""
         return "" if self.team is None else self.team.name
 
     @property
-    def retry(self) -> messages.Retry:
-        """Whether its arrival at a target counts against the bound on retries."""
+    def retry_kind(self) -> messages.Retry:
+        """The kind of retry that it counts as in the retry budget of a target."""
         if self.may_have_run:
             return messages.Retry.MAY_HAVE_RUN
-        if self.targets:
+        if self.rejected_by:
             return messages.Retry.REJECTED
         if self.parent is not None and self.parent.forward.retry:
             return messages.Retry.CALL
         return messages.Retry.NO
 
-    def take_back(self, address: str) -> None:
-        """Let a suspect go to the daemon where all copies of it meet again.
+    def retry_as_suspect(self, address: str) -> None:
+        """Allow a retry at `address`, whose daemon cancelled the run of a suspect.
 
-        That may be the one at `address`, which has just ended its run. The run counts
-        for no attempt, once: a proper request that ran beside the suspect would have
-        none left.
+        All copies of a suspect go to one daemon, which may be that one. The cancelled
+        run counts as no attempt once, so that harmless suspects can be retried.
         """
         self.tried.discard(address)
-        if self.route.max_attempts > 1 and not self.taken_back:
-            self.taken_back = True
+        if self.route.max_attempts > 1 and not self.retried_as_suspect:
+            self.retried_as_suspect = True
             self.attempts -= 1
 
     def progress(self, now: float) -> retrying.Progress:
-        """Return how far it has come."""
+        """Return the state that retry decisions depend on."""
         return retrying.Progress(
             now=now,
             started=self.started,
@@ -108,13 +106,13 @@
             sends=self.sends,
             may_have_run=self.may_have_run,
             streaming=self.streaming,
-            lowest=self.lowest,
+            sheddable=self.sheddable,
         )
 
-    def note(
+    def log(
         self, ctx: context.Context, outcome: str, reason: str, **more: object
     ) -> None:
-        """Have a decision about this request logged and counted."""
+        """Log and count a decision about this request."""
         ctx.note(
             "request",
             request_id=self.request_id,
--- a/ferrydeck/mesh/outbound/replies.py
+++ b/ferrydeck/mesh/outbound/replies.py
@@ -1,15 +1,12 @@
-"""What callers get: answers of targets, and rejections before a request was taken.
-
-Owns nothing; relies on the driver to turn the effects into responses.
-"""
+"""Emits the effects that the driver turns into responses to callers."""
 
 from __future__ import annotations
 
 from ferrydeck.mesh import context, effects, events, messages
 from ferrydeck.mesh.outbound import outbound_request
 
-NOT_RUN_STATUS = 503
-NO_ROUTE_STATUS = 404
+SERVICE_UNAVAILABLE = 503
+NOT_FOUND = 404
 
 
 def reply(
@@ -17,7 +14,7 @@
     req: outbound_request.OutboundRequest,
     message: messages.Answer,
 ) -> None:
-    """Give a caller a target's answer, or the first part of it."""
+    """Send a target's response, or the first part of it, to the caller."""
     ctx.emit(
         effects.Reply(
             conn=req.conn,
@@ -38,9 +35,9 @@
     retry_after_s: float | None,
     **inputs: object,
 ) -> None:
-    """Reject a request that was not taken, with a line in the log.
+    """Reject a request before it is accepted, and log the decision.
 
-    `retry_after_s` is `None` where coming back would not help.
+    `retry_after_s` is `None` if a retry would not help.
     """
     ctx.emit(
         effects.Reject(
--- a/ferrydeck/mesh/outbound/reports.py
+++ b/ferrydeck/mesh/outbound/reports.py
@@ -1,7 +1,6 @@
-"""What answers and rejections report beside the answer: load, prices, demand, calls.
+"""Applies the load, price and demand reports that are piggybacked on responses.
 
-Owns nothing: each figure goes to the part that decides by it. A figure comes with
-every message of an inbound side, so no message of its own is spent on it.
+It keeps no state: each figure is passed on to the component that uses it.
 """
 
 from __future__ import annotations
@@ -16,18 +15,18 @@
 
 @attrs.define(kw_only=True)
 class Reports:
-    """Hands reported figures to the parts that decide by them."""
+    """Passes piggybacked reports to the components that use them."""
 
     inbound: inbound.Inbound
 
-    def received(
+    def apply(
         self,
         now: float,
         req: outbound_request.OutboundRequest,
         peer: peers.Peer | None,
         message: messages.Answer | messages.Rejected | messages.Broken,
     ) -> None:
-        """Take what a message of a peer reports, `None` for this box."""
+        """Apply the reports of a message; `peer` is `None` for this box."""
         if peer is not None:
             peer.update_load(now, message.load)
             self.prices_received(now, peer, message.load)
@@ -36,14 +35,14 @@
         self.inbound.correlator.set_called(req.route.name, called=message.called)
         if isinstance(message, messages.Answer):
             costs = self.inbound.costs
-            costs.set_demand(req.route.name, message.demand, sheddable=req.lowest)
+            costs.set_demand(req.route.name, message.demand, sheddable=req.sheddable)
             if req.parent is not None:
                 req.parent.answered_calls[req.route.name] += 1
 
     def prices_received(
         self, now: float, peer: peers.Peer, load: messages.Load
     ) -> None:
-        """Take the price reports that came with a daemon's load."""
+        """Apply the price reports that are part of a load report."""
         if load.prices and peer.target_state is not None:
             service = peer.target_state.service
             self.inbound.prices.received(now, service, load.prices)
--- a/ferrydeck/mesh/outbound/retry_after.py
+++ b/ferrydeck/mesh/outbound/retry_after.py
@@ -1,56 +1,55 @@
-"""When a rejected caller may come back, where the outbound side decides it.
+"""`Retry-After` times of rejections that the outbound side decides itself.
 
-Owns those times and their spread. The inbound side states its own with each rejection
-(`inbound.retry_after`), a blocked request comes back once it is forgotten (`poison`),
-and the time of a team beyond its quota comes with its grant (`teams.quota`).
+Other times come from the inbound side (`inbound.retry_after`), from the crash record of
+a blocked request (`poison`) and from the quota of a team (`teams.quota`).
 """
 
 from __future__ import annotations
 
 from ferrydeck.mesh import messages
 
-LEAST_S = 0.3
-"""The earliest return where no inbound side stated one, seconds."""
-RETURN_FRACTION = 0.6
-"""Part of the time in which an answer is not late after which a caller may come back
-that found no target: the rest is for the second try."""
-WITHOUT_POLICY_S = 1.0
-"""Return to a daemon that has started and has no policy yet, seconds."""
+MIN_RETRY_AFTER_S = 0.3
+"""Minimum and default time, seconds."""
+OBJECTIVE_RATIO = 0.6
+"""Part of the remaining latency objective after which a request that found no target
+may be retried; the rest is left for the retry itself."""
+NO_POLICY_S = 1.0
+"""Time for a daemon that has started and has no policy yet, seconds."""
 STALE_POLICY_S = 0.5
-"""Return of a caller whose key can't be relied on, seconds: a daemon whose links or
-store are back has a confirmation within half a second."""
-SPREAD_FROM = 0.75
-SPREAD_WIDTH = 0.5
-"""Times are multiplied by 0.75 to 1.25, so that callers that were rejected together do
-not come back together."""
+"""Time while the policy is too old to check API keys, seconds. Once links or store are
+back, the policy is confirmed within this time."""
+MIN_JITTER = 0.75
+JITTER_RANGE = 0.5
+"""Times are multiplied by a random factor from 0.75 to 1.25, so that callers that were
+rejected together do not retry together."""
 
 
 def for_reason(reason: messages.Reason) -> float:
-    """Return the time that goes with a reason alone, seconds."""
+    """Return the time for a rejection reason, seconds."""
     match reason:
         case messages.Reason.NO_POLICY:
-            return WITHOUT_POLICY_S
+            return NO_POLICY_S
         case messages.Reason.STALE_POLICY:
             return STALE_POLICY_S
-    return LEAST_S
+    return MIN_RETRY_AFTER_S
 
 
-def without_target(in_time_s: float, draw: float) -> float:
+def no_target(left_s: float, draw: float) -> float:
     """Return the time for a request that found no target, seconds.
 
-    `in_time_s` is the time in which its answer is not late; `draw` is from 0 to 1.
+    `left_s` is what remains of its latency objective; `draw` is from 0 to 1.
     """
-    return max(LEAST_S, RETURN_FRACTION * in_time_s * spread(draw))
+    return max(MIN_RETRY_AFTER_S, OBJECTIVE_RATIO * left_s * jitter_factor(draw))
 
 
 def over_quota(granted_s: float, draw: float) -> float:
     """Return the time for a request beyond its team's quota, seconds.
 
-    `granted_s` is the time that came with the grant; `draw` is from 0 to 1.
+    `granted_s` comes from the quota grant; `draw` is from 0 to 1.
     """
-    return granted_s * spread(draw)
+    return granted_s * jitter_factor(draw)
 
 
-def spread(draw: float) -> float:
-    """Return the factor that spreads returns; `draw` is from 0 to 1."""
-    return SPREAD_FROM + SPREAD_WIDTH * draw
+def jitter_factor(draw: float) -> float:
+    """Return the jitter factor for a random number from 0 to 1."""
+    return MIN_JITTER + JITTER_RANGE * draw
--- a/ferrydeck/mesh/outbound/retrying.py
+++ b/ferrydeck/mesh/outbound/retrying.py
@@ -1,9 +1,8 @@
-"""Whether a request is sent again: what follows when an attempt brings no good answer.
+"""Retry decisions: what to do when an attempt fails.
 
-Owns the limits on attempts and the rules below, one function for each way in which an
-attempt fails. Each takes how far the request has come (`Progress`) and returns the next
-step. The inbound side that a retry reaches decides further whether its retry budget
-grants it; `outbound` carries the steps out.
+There is one pure function for each way in which an attempt can fail. It takes the state
+of the request (`Progress`) and returns the next step, which `outbound` executes. The
+daemon that receives a retry additionally checks it against its retry budget.
 """
 
 from __future__ import annotations
@@ -13,63 +12,61 @@
 from ferrydeck.mesh import messages
 
 MAX_SENDS = 5
-"""Daemons that one request is sent to at most, those that reject it included."""
-MAX_ATTEMPTS = 8
-"""Targets that are asked to run one request at most where they reject it: of requests
-to targets that reject half, one in 250 is given up."""
-LEAST_LEFT_S = 0.03
-"""A request with less time left than this is not sent again, seconds."""
-SEARCH_S = 0.15
-"""How long a request of the lowest priority looks for an open target, seconds: one that
-opens again after a restart announces it within a tenth. Longer waits are mostly in
-vain, since the last target of a service in reach has gone."""
-URGENT_SEARCH_S = 0.4
-"""The same for requests of other priorities, seconds: a daemon restarts in that
-time."""
-SEARCH_PAUSE_S = 0.03
-"""Pause before a target is looked for again where none was open, seconds."""
+"""Maximum number of daemons a request is sent to, rejections included."""
+MAX_REJECTED_ATTEMPTS = 8
+"""Maximum number of targets a request is offered to while they reject it. If targets
+reject half of all requests, one in 250 is given up."""
+MIN_ATTEMPT_S = 0.03
+"""Minimum time before the deadline for another attempt, seconds."""
+SHEDDABLE_SEARCH_TIMEOUT_S = 0.15
+"""How long a sheddable request searches for an available target, seconds. A target that
+has restarted announces itself within 0.1 s."""
+SEARCH_TIMEOUT_S = 0.4
+"""How long other requests search, seconds; longer than a daemon restart."""
+SEARCH_INTERVAL_S = 0.03
+"""Interval between searches for an available target, seconds."""
 
 FINAL_REJECTIONS = frozenset(
     {messages.Reason.SHED, messages.Reason.RETRY_BUDGET, messages.Reason.BLOCKED}
 )
-"""Rejections of one daemon that every other one would give as well."""
+"""Rejection reasons of a daemon that apply at every other daemon too."""
 
-MAYBE_RUN_STATUS = 502
-LATE_STATUS = 504
+BAD_GATEWAY = 502
+GATEWAY_TIMEOUT = 504
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Progress:
-    """How far a request has come; times are on this daemon's clock, seconds."""
+    """State of a request that retry decisions depend on; times in seconds."""
 
     now: float
     started: float
     give_up_at: float
-    """Until when a target is looked for."""
+    """When the search for an available target ends."""
     deadline: float
     retryable: bool
     """Whether it may run more than once."""
     max_attempts: int
-    """Targets that may be asked, by its route."""
+    """Limit on `attempts` that its route sets."""
     attempts: int
-    """Targets that were asked."""
+    """Number of targets it was offered to."""
     sends: int
-    """Daemons that it was sent to."""
+    """Number of daemons it was sent to."""
     may_have_run: bool
     streaming: bool
-    """Whether its caller has a part of the answer."""
-    lowest: bool
-    """Whether it is a caller's own request of the priority that is shed first."""
+    """Whether the caller has received part of the response."""
+    sheddable: bool
+    """Whether it has the priority that is shed first and no parent request."""
 
     @property
     def daemon_rejections(self) -> int:
-        """How many daemons rejected it without asking their targets."""
+        """Number of daemons that rejected it without offering it to their target."""
         return self.sends - self.attempts
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Retry:
-    """Have another target run a request that may have run."""
+    """Retry a request that may have run at another target."""
 
     reason: str
 
@@ -81,29 +78,29 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class SearchAgain:
-    """Look for a target again after `SEARCH_PAUSE_S`."""
+    """Repeat the search for a target after `SEARCH_INTERVAL_S`."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Wait:
-    """Leave the attempt that is out alone."""
+    """Keep waiting for the current attempt."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Deliver:
-    """Give the caller the target's answer."""
+    """Return the target's response to the caller."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Reject:
-    """Answer that the request was not run, and when to come back."""
+    """Respond that the request was not run, with a `Retry-After`."""
 
     reason: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class GiveUp:
-    """Answer that it is not known whether the request has run."""
+    """Respond that the request may or may not have run."""
 
     status: int
     reason: str
@@ -111,7 +108,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Abort:
-    """End the caller's connection in the middle of an answer."""
+    """Close the caller's connection in the middle of a response."""
 
     reason: str
 
@@ -119,32 +116,32 @@
 Step = Retry | TryElsewhere | SearchAgain | Wait | Deliver | Reject | GiveUp | Abort
 
 
-def enough_time(now: float, deadline: float) -> bool:
-    """Return whether a request has time for an attempt."""
-    return deadline - now >= LEAST_LEFT_S
+def has_time_for_attempt(now: float, deadline: float) -> bool:
+    """Return whether there is time for an attempt before the deadline."""
+    return deadline - now >= MIN_ATTEMPT_S
 
 
 def after_failed_answer(
-    progress: Progress, *, outlier: bool, whole: bool
+    progress: Progress, *, outlier: bool, complete: bool
 ) -> Retry | Deliver:
-    """Decide after a target's answer that states a failure of its own.
+    """Decide after a target responded with a server error.
 
-    `outlier` says whether the target fails more often than others: where all fail
-    alike, a retry would only add to the load. `whole` says whether the answer is in
-    one piece, so that none of it has gone to the caller.
+    `outlier` is whether the target fails more often than others: if all fail alike, a
+    retry only adds load. `complete` is whether the response has arrived completely, so
+    that none of it was sent to the caller.
     """
-    if outlier and whole and _may_retry(progress):
+    if outlier and complete and _may_retry(progress):
         return Retry(reason="failed")
     return Deliver()
 
 
-def after_loss(progress: Progress, reason: str) -> Retry | GiveUp | Abort:
-    """Decide after an attempt that may have run and of which no answer will come."""
+def after_lost_attempt(progress: Progress, reason: str) -> Retry | GiveUp | Abort:
+    """Decide after an attempt that may have run but will not be answered."""
     if progress.streaming:
         return Abort(reason=reason)
     if _may_retry(progress):
         return Retry(reason=reason)
-    return GiveUp(status=MAYBE_RUN_STATUS, reason=reason)
+    return GiveUp(status=BAD_GATEWAY, reason=reason)
 
 
 def after_silence(progress: Progress) -> Retry | Wait:
@@ -157,11 +154,11 @@
 def after_daemon_rejection(
     progress: Progress, reason: str
 ) -> TryElsewhere | Reject | GiveUp:
-    """Decide after a daemon rejected a request without asking its target."""
+    """Decide after a daemon rejected a request on behalf of its target."""
     if reason in FINAL_REJECTIONS or progress.daemon_rejections >= MAX_SENDS:
-        return unserved(progress, reason)
+        return end_unanswered(progress, reason)
     if progress.now >= progress.give_up_at:
-        return unserved(progress, reason)
+        return end_unanswered(progress, reason)
     return TryElsewhere()
 
 
@@ -170,50 +167,50 @@
 ) -> TryElsewhere | Reject | GiveUp:
     """Decide after a target rejected a request.
 
-    `retry_granted` says whether its daemon's retry budget grants a further attempt.
+    `retry_granted` is whether the retry budget of its daemon allows another attempt.
     """
-    if not retry_granted or progress.attempts >= MAX_ATTEMPTS:
-        return unserved(progress, reason)
-    if not enough_time(progress.now, progress.deadline):
-        return unserved(progress, reason)
+    if not retry_granted or progress.attempts >= MAX_REJECTED_ATTEMPTS:
+        return end_unanswered(progress, reason)
+    if not has_time_for_attempt(progress.now, progress.deadline):
+        return end_unanswered(progress, reason)
     return TryElsewhere()
 
 
-def without_target(progress: Progress) -> SearchAgain | Reject | GiveUp:
-    """Decide where no target is open: search on while a rejection is still early."""
-    search_s = SEARCH_S if progress.lowest else URGENT_SEARCH_S
-    ends = min(progress.give_up_at, progress.started + search_s)
-    again_at = progress.now + SEARCH_PAUSE_S
-    if again_at < ends and progress.daemon_rejections < MAX_SENDS:
+def after_no_target(progress: Progress) -> SearchAgain | Reject | GiveUp:
+    """Decide when no target is available: search again until the search times out."""
+    search_s = SHEDDABLE_SEARCH_TIMEOUT_S if progress.sheddable else SEARCH_TIMEOUT_S
+    search_until = min(progress.give_up_at, progress.started + search_s)
+    search_at = progress.now + SEARCH_INTERVAL_S
+    if search_at < search_until and progress.daemon_rejections < MAX_SENDS:
         return SearchAgain()
-    return unserved(progress, messages.Reason.NO_TARGET)
+    return end_unanswered(progress, messages.Reason.NO_TARGET)
 
 
-def without_time(progress: Progress) -> Reject | GiveUp:
-    """Decide where too little time is left for an attempt."""
+def after_expiry(progress: Progress) -> Reject | GiveUp:
+    """Decide when too little time is left for an attempt."""
     if progress.may_have_run:
-        return GiveUp(status=LATE_STATUS, reason=messages.Reason.TIMEOUT)
+        return GiveUp(status=GATEWAY_TIMEOUT, reason=messages.Reason.TIMEOUT)
     return Reject(reason=messages.Reason.EXPIRED)
 
 
 def at_deadline(progress: Progress, *, sent: bool) -> Reject | GiveUp:
-    """Decide as the caller's time is over; `sent` says whether an attempt is out."""
+    """Decide at the deadline; `sent` is whether an attempt is in progress."""
     if sent or progress.may_have_run:
-        return GiveUp(status=LATE_STATUS, reason=messages.Reason.TIMEOUT)
+        return GiveUp(status=GATEWAY_TIMEOUT, reason=messages.Reason.TIMEOUT)
     return Reject(reason=messages.Reason.TIMEOUT)
 
 
-def unserved(progress: Progress, reason: str) -> Reject | GiveUp:
-    """Decide how a request ends that is not sent again and has no answer."""
+def end_unanswered(progress: Progress, reason: str) -> Reject | GiveUp:
+    """Decide how a request ends that has no response and is not retried."""
     if progress.may_have_run:
-        return GiveUp(status=MAYBE_RUN_STATUS, reason=reason)
+        return GiveUp(status=BAD_GATEWAY, reason=reason)
     return Reject(reason=reason)
 
 
 def _may_retry(progress: Progress) -> bool:
-    """Return whether a request that may have run may run at another target."""
+    """Return whether a request that may have run may be retried."""
     if not progress.retryable or progress.attempts >= progress.max_attempts:
         return False
     if progress.sends >= MAX_SENDS:
         return False
-    return enough_time(progress.now, progress.deadline)
+    return has_time_for_attempt(progress.now, progress.deadline)
--- a/ferrydeck/mesh/outbound/scoring.py
+++ b/ferrydeck/mesh/outbound/scoring.py
@@ -1,61 +1,59 @@
-"""How a target scores for the next request: the lowest score is chosen.
+"""Scores targets for load balancing; the lowest score wins.
 
-A score is a load, as a part of the target's slots, plus what makes the target worse in
-the same unit. Owns those weights, one pure function a term; `choosing` adds them up.
+A score is the target's load as a ratio of its slots, plus penalties in the same unit.
+Each function computes one term; `balancing` adds them up.
 """
 
 from __future__ import annotations
 
 FAR_PENALTY = 0.6
-"""What another data centre adds: bytes between data centres are priced, and a near
-target at two thirds of its slots answers as fast as a free one."""
-NEARLY_FULL = 0.75
-"""Part of its slots from which on a target's load counts for more."""
-NEARLY_FULL_WEIGHT = 4.0
-"""What the load above that counts more: a near target at seven eighths of its slots
-then scores as one in another data centre at three quarters. With less, a slow target
-fills up and rejects requests while others in reach have room."""
-FAILED_PENALTY = 1.5
-"""What a target that fails or rejects all requests adds."""
-FAILED_LEAST = 0.1
-"""Share of failed requests below which a target counts as healthy."""
-OUTLIER_FRACTION = 0.5
-"""A target is an outlier if a quarter of all fail less than this part as often."""
-COLD_PENALTY = 0.3
-"""What a target adds that is still slow after its start."""
+"""Penalty for a target in another data centre, since traffic between them is billed. A
+near target with up to two thirds of its slots in use is as fast as an idle one."""
+HIGH_LOAD = 0.75
+"""Load ratio above which `HIGH_LOAD_WEIGHT` applies."""
+HIGH_LOAD_WEIGHT = 4.0
+"""Extra weight of the load above `HIGH_LOAD`, which moves traffic to other data centres
+before a near target is full and rejects requests."""
+FAILURE_PENALTY = 1.5
+"""Penalty for a target that fails or rejects all requests."""
+MIN_FAILURE_RATIO = 0.1
+"""Failure ratio below which a target counts as healthy."""
+OUTLIER_RATIO = 0.5
+"""A target is an outlier if the baseline is below this part of its failure ratio."""
+COLD_START_PENALTY = 0.3
+"""Penalty for a target that is still warming up."""
 SLOW_PENALTY = 0.3
-"""What a target adds that takes twice as long as the fastest one: some targets are
-three times as fast as others, and at low load nothing else distinguishes them."""
-SLOW_PENALTY_MOST = 0.6
-"""The most that a slow target adds: as much as another data centre."""
-JITTER = 0.05
-"""The most that chance adds, so that requests spread over targets that are alike."""
+"""Penalty for a target that takes twice as long as the fastest one. At low load nothing
+else tells slow targets from fast ones."""
+MAX_SLOW_PENALTY = 0.6
+"""Maximum penalty for a slow target, equal to `FAR_PENALTY`."""
+MAX_JITTER = 0.05
+"""Maximum random addition, which spreads requests over equal targets."""
 
 
-def loaded(load: float) -> float:
-    """Return the term of a load, which is a part of the target's slots."""
-    return load + NEARLY_FULL_WEIGHT * max(0.0, load - NEARLY_FULL)
+def load_score(load: float) -> float:
+    """Return the term for a load ratio."""
+    return load + HIGH_LOAD_WEIGHT * max(0.0, load - HIGH_LOAD)
 
 
-def slow(service_time_ms: int, fastest_ms: int) -> float:
-    """Return the term of a service time; either time is 0 while it is not known."""
+def slow_penalty(service_time_ms: int, fastest_ms: int) -> float:
+    """Return the penalty for a service time; either time is 0 if unknown."""
     if not service_time_ms or not fastest_ms:
         return 0.0
-    return min(SLOW_PENALTY_MOST, SLOW_PENALTY * (service_time_ms / fastest_ms - 1.0))
+    return min(MAX_SLOW_PENALTY, SLOW_PENALTY * (service_time_ms / fastest_ms - 1.0))
 
 
-def failing(failed: float, usual_failed: float) -> float:
-    """Return the term of a share of failed requests, 0 where the target is no outlier.
+def failure_penalty(failed: float, baseline: float) -> float:
+    """Return the penalty for a failure ratio, 0 for a target that is no outlier.
 
-    All daemons receive the same shares: where all targets fail alike, as they do when
-    the cause lies behind them, small differences would send all requests of a service
-    to one of them.
+    If a shared dependency makes all targets fail alike, a penalty would let small
+    differences send all requests of a service to one target.
     """
-    if failed < FAILED_LEAST or not outlier(failed, usual_failed):
+    if failed < MIN_FAILURE_RATIO or not is_outlier(failed, baseline):
         return 0.0
-    return FAILED_PENALTY * failed
+    return FAILURE_PENALTY * failed
 
 
-def outlier(failed: float, usual_failed: float) -> bool:
-    """Return whether a share of failed requests is well above the usual one."""
-    return usual_failed < OUTLIER_FRACTION * failed
+def is_outlier(failed: float, baseline: float) -> bool:
+    """Return whether a failure ratio is well above the baseline."""
+    return baseline < OUTLIER_RATIO * failed
--- a/ferrydeck/mesh/outbound/traffic_split.py
+++ b/ferrydeck/mesh/outbound/traffic_split.py
@@ -1,6 +1,6 @@
-"""Weighted splits of a route's requests over services.
+"""Splits the requests of a route between services by weight.
 
-Owns the state of the round robin by route; the weights come from the policy.
+The weights come from the policy.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 
 @attrs.define(kw_only=True)
 class TrafficSplits:
-    """Smooth weighted round robin with a state for each route and its parts."""
+    """Smooth weighted round robin for each route and its split."""
 
-    _credits: dict[tuple[str, tuple[policy.SplitPart, ...]], list[float]] = (
+    _current_weights: dict[tuple[str, tuple[policy.SplitPart, ...]], list[float]] = (
         attrs.Factory(dict)
     )
 
     def clear(self) -> None:
-        """Start all round robins anew, since the policy changed."""
-        self._credits.clear()
+        """Reset all round robins after a policy change."""
+        self._current_weights.clear()
 
-    def service(self, route: policy.Route, jitter: float) -> str:
-        """Return the service that the next request of a route goes to.
+    def next_service(self, route: policy.Route, offset: float) -> str:
+        """Return the service for the next request of a route.
 
-        `jitter` (0 to 1) sets where a route's turn begins, so that daemons that
+        `offset` (0 to 1) shifts the start of a new round robin, so that daemons that
         start together do not all send their first requests to the same service.
         """
         if len(route.parts) == 1:
             return route.parts[0].service
         key = (route.name, route.parts)
-        credits = self._credits.get(key)
-        if credits is None:
-            credits = [one.weight * jitter for one in route.parts]
-            self._credits[key] = credits
+        current = self._current_weights.get(key)
+        if current is None:
+            current = [one.weight * offset for one in route.parts]
+            self._current_weights[key] = current
         total = 0.0
         for index, part in enumerate(route.parts):
-            credits[index] += part.weight
+            current[index] += part.weight
             total += part.weight
-        best = max(range(len(credits)), key=credits.__getitem__)
-        credits[best] -= total
+        best = max(range(len(current)), key=current.__getitem__)
+        current[best] -= total
         return route.parts[best].service
