--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -198,7 +198,7 @@
             case events.ProbeAnswered():
                 self.inbound.crashes.probe_answered(now, event)
             case events.Heartbeat():
-                self.heartbeats.receive(now, event)
+                self.heartbeats.on_heartbeat(now, event)
             case events.StoreAnswered(request=request, result=result, era=era):
                 self.registry.answer_received(now, request, result, era)
             case events.PolicyRead(policy=new, source=source):
@@ -329,7 +329,7 @@
             case messages.PolicyReply(raw=raw):
                 self.policies.policy_received(raw, incoming.box)
             case messages.HeartbeatRelay():
-                self.heartbeats.receive_relay(now, link, message)
+                self.heartbeats.on_relay(now, link, message)
             case messages.RetryCounts():
                 self.retry_exchange.received(now, incoming.address, message)
             case messages.TeamUsages():
--- a/ferrydeck/mesh/inbound/admission.py
+++ b/ferrydeck/mesh/inbound/admission.py
@@ -1,13 +1,12 @@
-"""Decides whether a request is admitted to the target of this box.
+"""Admission control: decides whether a request may run at the local target.
 
-Only the daemon beside a target can reach it. So a request that is rejected here has
-not run, and what must hold for every run (the target takes work, it is the incarnation
-that was chosen, time is left, the load and the retries stay in bounds) is checked here
-alone, whatever the other daemons believe.
+A target is reached only through the daemon of its box. So a request that is rejected
+here has not run, and all conditions of a run are checked here, regardless of the state
+that other daemons assume: the target accepts requests, it is the chosen incarnation,
+time is left, and load and retries are within their limits.
 
-`decide` is the whole decision; the checks are made in the order in which they stand.
-It owns no state. The last two checks count what they are asked, in the shedding control
-and the retry budget, so they come after all checks that are free of effects.
+`decide` owns no state. The last two checks count requests, in the shedding control and
+in the retry budget, so they follow the checks without side effects.
 """
 
 from __future__ import annotations
@@ -17,51 +16,50 @@
 from ferrydeck.mesh import messages
 from ferrydeck.mesh.inbound import load_shedding, retry_budget
 
-MIN_LEFT_S = 0.01
-"""A request with less time left than this is not started, seconds: its caller would be
-gone before an answer could reach it."""
-STALL_S = 1.0
-"""A target that has runs and has answered nothing for this long is stalled, seconds,
-where its heartbeats are missing as well."""
-MISSED_HEARTBEATS = 2
-"""Heartbeat intervals without a heartbeat after which a silent target is stalled."""
+MIN_REMAINING_S = 0.01
+"""Remaining time below which a request is not started, seconds: its answer would be
+too late."""
+STALL_TIMEOUT_S = 1.0
+"""Time without an answer to any run after which a target is stalled, seconds, if its
+heartbeats are missing as well."""
+MAX_MISSED_HEARTBEATS = 2
+"""Heartbeat intervals without a heartbeat after which a target may be stalled."""
 
 
 @attrs.define(kw_only=True)
 class Inputs:
-    """What is known of a request, and of the target, as the request arrives.
+    """Inputs of the admission decision.
 
-    Nothing changes it. It is not frozen, since one is made for each request: a frozen
-    one took 3.0 microseconds to make, and this one 1.1.
+    It is never modified, but not frozen, since that slows down its construction.
     """
 
     forward: messages.Forward
     left_s: float
-    """Time until its caller stops waiting, seconds."""
+    """Time until the deadline of the request, seconds."""
     blocked: bool
-    """Whether targets have crashed under it too often."""
+    """Whether the request is blocked, since it crashed too many targets."""
     open: bool
-    """Whether the target takes work, and this daemon is not stopping."""
+    """Whether the target accepts requests, and this daemon is not stopping."""
     service: str
-    """The service of the target."""
+    """Service of the target."""
     incarnation: str
-    """The incarnation of the target that takes work."""
+    """Incarnation of the target that accepts requests."""
     silent_s: float
-    """How long the target has runs and has answered nothing, seconds."""
+    """Time for which the target has had runs without answering any, seconds."""
     heartbeat_age_s: float
-    """Time since its last heartbeat that said it is ready, seconds; 0 if none came."""
+    """Time since its last report that it is ready, seconds; 0 if none."""
     heartbeat_s: float
-    """Agreed interval of its heartbeats, seconds."""
+    """Heartbeat interval, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Admitted:
-    """The request may run, at once or after it has waited for a slot."""
+    """The request may run, possibly after it has been queued."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Rejected:
-    """The request does not run here."""
+    """The request will not run here."""
 
     reason: messages.Reason
 
@@ -78,7 +76,7 @@
     retries: retry_budget.RetryBudget,
     notice_stalled: bool,
 ) -> Result:
-    """Return whether a request is admitted, or why it is rejected."""
+    """Admit a request or reject it with a reason."""
     forward = inputs.forward
     if inputs.blocked:
         return Rejected(reason=messages.Reason.BLOCKED)
@@ -92,7 +90,7 @@
         return Rejected(reason=messages.Reason.WRONG_INCARNATION)
     if notice_stalled and _stalled(inputs):
         return Rejected(reason=messages.Reason.CLOSED)
-    if forward.lowest and shedder.sheds(now, forward):
+    if forward.lowest and shedder.should_shed(now, forward):
         return Rejected(reason=messages.Reason.SHED)
     if forward.retry is not messages.Retry.MAY_HAVE_RUN:
         return ADMITTED
@@ -103,14 +101,14 @@
 
 
 def expired(left_s: float) -> bool:
-    """Return whether too little time is left to start a request."""
-    return left_s < MIN_LEFT_S
+    """Return whether the remaining time is too short to start a request."""
+    return left_s < MIN_REMAINING_S
 
 
 def _stalled(inputs: Inputs) -> bool:
     """Return whether the target has stopped answering and sending heartbeats.
 
-    Without any heartbeat a stalled target looks like a slow one.
+    A target that has never sent a heartbeat is not distinguishable from a slow one.
     """
-    late_s = MISSED_HEARTBEATS * inputs.heartbeat_s
-    return inputs.silent_s > STALL_S and inputs.heartbeat_age_s > late_s
+    late_s = MAX_MISSED_HEARTBEATS * inputs.heartbeat_s
+    return inputs.silent_s > STALL_TIMEOUT_S and inputs.heartbeat_age_s > late_s
--- a/ferrydeck/mesh/inbound/correlation.py
+++ b/ferrydeck/mesh/inbound/correlation.py
@@ -1,17 +1,15 @@
-"""Finds the run at the target of this box that a call belongs to.
+"""Matches calls to the runs at the local target that made them.
 
-Nothing in a call names the request that it is made for. But a call ends when its run
-does, and the run's deadline is what this inbound side handed to the target. So a
-request whose deadline is that of a run here is a call of this run; where a route bounds
-its calls to less, the call ends earlier than all runs that may have made it. A caller's
-own request ends later than any run, since a route's time bounds the run.
+Calls may not name their run, but a call has the deadline that this daemon passed to the
+target with the run. On a route with a shorter timeout, the call ends earlier than every
+run that may have made it. Requests of external callers end later than any run, since
+the timeout of a route bounds its runs.
 
-Which routes are called by targets is reported by the inbound sides that they lead to:
-callers' requests begin on the boxes of all services alike, a target's calls on boxes of
-its own service only.
+Daemons report whether targets call the routes that lead to them: requests of external
+callers come from the boxes of all services, the calls of targets from one service.
 
-Owns the set of called routes, the longest stated times, and the counts of callers by
-route. Relies on `Run` to show the calls that a run has made and has out.
+Owns the set of called routes, the longest remaining times and the callers by route.
+Relies on `Run` for the ended and open calls of a run.
 """
 
 from __future__ import annotations
@@ -22,74 +20,72 @@
 
 import attrs
 
-MATCH_S = 0.008
-"""How far two deadlines of one run may lie apart, seconds: they are sent in whole
-milliseconds, and a busy daemon reads some milliseconds late."""
-EARLY_S = 0.002
-"""How much earlier than its run a call may seem to end, seconds: the rounding."""
-BOUND_SLACK_S = 0.003
-"""Requests that state within this of the most that a route's requests ever stated
-are taken as bounded, seconds."""
-MAX_RESUME_DELAY_S = 0.005
-"""A run whose call was answered this lately is the one that makes the next call,
-seconds: targets that call in turn go on within half a millisecond, and a busy daemon
-reads some milliseconds late. Of forty runs at one target hardly two are so near."""
-HALF_CALL = 0.5
-"""A run that has made as many calls as runs of its route make, but for this part of
-one, is taken to make no more."""
-CALLING_SHARE = 0.5
-"""Runs whose routes make less than this part of the calls of the others make none here:
-one that calls nothing stays new to its end and would be taken for all of them."""
-SEEN_LEAST = 30
-"""Requests of a route that are seen before it is judged."""
-SEEN_MOST = 400
-"""Requests after which older ones count half."""
-ONE_CALLER = 0.9
-"""Share of requests from boxes of one service above which targets send them: with
-four services alike on the boxes, callers' requests come to a third from one."""
+MAX_DIFFERENCE_S = 0.008
+"""Largest difference of deadlines that match, seconds: they are rounded to
+milliseconds, and a busy daemon receives requests late."""
+ROUNDING_S = 0.002
+"""Time by which a call may end before its run due to rounding, seconds."""
+TIMEOUT_MARGIN_S = 0.003
+"""Requests whose remaining time is within this of the longest one of their route are
+bounded by the route's timeout, seconds."""
+MAX_PAUSE_S = 0.005
+"""Longest pause between the answer to a call and the next call of the run, seconds."""
+CALLS_MARGIN = 0.5
+"""A run is assumed to make no more calls once it is within this of the mean of its
+route."""
+MIN_CALLS_RATIO = 0.5
+"""Runs are no candidates if their route makes less than this part of the calls of the
+others: a run without calls would match every first call."""
+MIN_SAMPLES = 30
+"""Requests of a route from which on its callers are known."""
+MAX_SAMPLES = 400
+"""Requests after which the counts are halved."""
+MIN_CALLER_RATIO = 0.9
+"""Share of requests from one service above which a route is called by targets; external
+callers spread their requests over the boxes of all services."""
 
 
 @attrs.define(kw_only=True)
 class RouteCallers:
-    """From which services' boxes the requests of each route come."""
+    """Counts the requests of each route by the service of the sending box."""
 
-    _seen: dict[str, collections.Counter[str]] = attrs.Factory(dict)
+    _requests: dict[str, collections.Counter[str]] = attrs.Factory(dict)
 
     def count(self, route: str, caller: str) -> None:
         """Count a request."""
-        seen = self._seen.get(route)
-        if seen is None:
-            seen = self._seen[route] = collections.Counter()
-        seen[caller] += 1
-        if seen.total() > SEEN_MOST:
-            for name in list(seen):
-                seen[name] //= 2
-
-    def by_targets(self, route: str) -> bool:
-        """Return whether targets send the requests of a route."""
-        seen = self._seen.get(route)
-        if seen is None:
+        counts = self._requests.get(route)
+        if counts is None:
+            counts = self._requests[route] = collections.Counter()
+        counts[caller] += 1
+        if counts.total() > MAX_SAMPLES:
+            for name in list(counts):
+                counts[name] //= 2
+
+    def called_by_targets(self, route: str) -> bool:
+        """Return whether the requests of a route are calls of targets."""
+        counts = self._requests.get(route)
+        if counts is None:
             return False
-        total = seen.total()
-        return total >= SEEN_LEAST and max(seen.values()) > ONE_CALLER * total
+        total = counts.total()
+        return total >= MIN_SAMPLES and max(counts.values()) > MIN_CALLER_RATIO * total
 
 
 class Run(Protocol):
-    """What is needed of a run."""
+    """The properties of a run that matching needs."""
 
     deadline: float
     expected_calls: float
-    """Calls that runs of its route make, as far as known; 0 for none."""
-    calls: int
-    """Its calls that have ended."""
+    """Calls per run of its route; 0 while unknown."""
+    ended_calls: int
+    """Number of its ended calls."""
     open_calls: int
-    """Its calls that have not ended."""
+    """Number of its calls that have not ended."""
     resumed_at: float
-    """When it was started, or when the last of its calls ended."""
+    """Time of its start or of the end of its last call."""
 
     @property
     def call_priority(self) -> int:
-        """The priority that its calls have."""
+        """Priority of its calls."""
 
 
 R = TypeVar("R", bound=Run)
@@ -97,96 +93,94 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Match(Generic[R]):
-    """The run that a call is taken to belong to."""
+    """The run that a call most likely belongs to."""
 
     run: R
     priority: int
-    """The highest priority that the call may have, where several runs are as likely."""
+    """Priority of the call, the highest one if several runs are equally likely."""
 
 
 @attrs.define(kw_only=True)
 class CallCorrelator:
-    """Finds the run of calls that begin on this box."""
+    """Finds the runs of calls that are made on this box."""
 
-    called: set[str] = attrs.Factory(set)
-    """Routes that targets call, as reported by where they lead."""
+    called_routes: set[str] = attrs.Factory(set)
+    """Routes that targets call, as reported by the daemons of their services."""
     _longest_s: dict[str, float] = attrs.Factory(dict)
-    """The longest time that a request of each route stated, seconds."""
+    """Longest remaining time of a request, by route, seconds."""
 
     def set_called(self, route: str, *, called: bool) -> None:
-        """Take a report of whether targets call a route."""
+        """Store a report of whether targets call a route."""
         if called:
-            self.called.add(route)
+            self.called_routes.add(route)
         else:
-            self.called.discard(route)
+            self.called_routes.discard(route)
 
     def find_parent(
         self, now: float, route: str, remaining_s: float, runs: Iterable[R]
     ) -> Match[R] | None:
-        """Return the run that a request is a call of, `None` for a caller's own.
+        """Return the run that made a request, `None` for an external caller.
 
-        `remaining_s` is the time that the request says it has left, seconds.
+        `remaining_s` is the time left until the deadline of the request, seconds.
         """
         longest_s = max(self._longest_s.get(route, 0.0), remaining_s)
         self._longest_s[route] = longest_s
         deadline = now + remaining_s
-        if route in self.called and remaining_s >= longest_s - BOUND_SLACK_S:
-            return _of_bounded_call(now, deadline, runs)
-        return _of_same_deadline(deadline, runs)
+        if route in self.called_routes and remaining_s >= longest_s - TIMEOUT_MARGIN_S:
+            return _match_bounded(now, deadline, runs)
+        return _match_deadline(deadline, runs)
 
 
-def _of_same_deadline(deadline: float, runs: Iterable[R]) -> Match[R] | None:
-    """Return the run whose deadline is nearest to that of a call."""
-    near = [one for one in runs if -EARLY_S <= deadline - one.deadline <= MATCH_S]
+def _match_deadline(deadline: float, runs: Iterable[R]) -> Match[R] | None:
+    """Return the run with the closest deadline to that of a call."""
+    near = [r for r in runs if -ROUNDING_S <= deadline - r.deadline <= MAX_DIFFERENCE_S]
     if not near:
         return None
-    run = min(near, key=lambda one: (_apart_ms(one, deadline), one.call_priority))
+    run = min(near, key=lambda run: (_difference_ms(run, deadline), run.call_priority))
     return Match(run=run, priority=run.call_priority)
 
 
-def _of_bounded_call(now: float, deadline: float, runs: Iterable[R]) -> Match[R] | None:
-    """Return the run that likely makes a call which ends before its run does.
+def _match_bounded(now: float, deadline: float, runs: Iterable[R]) -> Match[R] | None:
+    """Return the likely run of a call that is bounded by the timeout of its route.
 
-    Among forty runs at one target some end by chance when the call does; that one of
-    them calls next says more: the one whose call was just answered, or of those that
-    have made none the one that began first.
+    It is the run whose call was just answered, or else the oldest one without calls.
     """
     idle = [
-        one for one in runs if one.deadline > deadline - EARLY_S and not one.open_calls
+        run
+        for run in runs
+        if run.deadline > deadline - ROUNDING_S and not run.open_calls
     ]
     if not idle:
         return None
-    return _of_resumed_run(now, idle) or _of_new_run(idle)
+    return _match_resumed_run(now, idle) or _match_new_run(idle)
 
 
-def _of_resumed_run(now: float, idle: list[R]) -> Match[R] | None:
-    """Return the run whose call was answered last, a moment ago.
+def _match_resumed_run(now: float, idle: list[R]) -> Match[R] | None:
+    """Return the run whose call was answered last, within `MAX_PAUSE_S`.
 
-    Runs that still make calls, by the mean of their route, come first.
+    Runs that are expected to make more calls take precedence.
     """
-    resumed = [
-        one for one in idle if one.calls and now - one.resumed_at <= MAX_RESUME_DELAY_S
-    ]
+    resumed = [r for r in idle if r.ended_calls and now - r.resumed_at <= MAX_PAUSE_S]
     if not resumed:
         return None
-    calling = [one for one in resumed if one.calls < one.expected_calls - HALF_CALL]
-    run = max(calling or resumed, key=lambda one: one.resumed_at)
+    calling = [r for r in resumed if r.ended_calls < r.expected_calls - CALLS_MARGIN]
+    run = max(calling or resumed, key=lambda run: run.resumed_at)
     return Match(run=run, priority=run.call_priority)
 
 
-def _of_new_run(idle: list[R]) -> Match[R]:
-    """Return the run that began first of those that have made no call.
+def _match_new_run(idle: list[R]) -> Match[R]:
+    """Return the oldest of the runs that have made no call.
 
-    Which of them it is stays a guess, and one read of a posting that is taken for a
-    lookup's costs the whole posting: the call gets the highest priority of them.
+    The match is uncertain, so the call gets the highest priority of these runs: a shed
+    call would waste the whole run of a request of high priority.
     """
-    new = [one for one in idle if not one.calls] or idle
-    most = max(one.expected_calls for one in new)
-    calling = [one for one in new if one.expected_calls >= CALLING_SHARE * most]
-    run = min(calling, key=lambda one: one.resumed_at)
-    return Match(run=run, priority=min(one.call_priority for one in calling))
+    new = [run for run in idle if not run.ended_calls] or idle
+    most = max(run.expected_calls for run in new)
+    calling = [run for run in new if run.expected_calls >= MIN_CALLS_RATIO * most]
+    first = min(calling, key=lambda run: run.resumed_at)
+    return Match(run=first, priority=min(run.call_priority for run in calling))
 
 
-def _apart_ms(run: Run, deadline: float) -> int:
-    """Return how far two deadlines lie apart, in whole milliseconds as sent."""
+def _difference_ms(run: Run, deadline: float) -> int:
+    """Return the difference of two deadlines, rounded to milliseconds as sent."""
     return round(1000 * abs(deadline - run.deadline))
--- a/ferrydeck/mesh/inbound/crash_handling.py
+++ b/ferrydeck/mesh/inbound/crash_handling.py
@@ -1,12 +1,12 @@
-"""Handles runs that the target lost: one lost answer, or a crash of the target.
+"""Handles runs whose answer is lost, by a broken connection or a crash of the target.
 
-A run whose connection broke keeps its slot until the crash detector has a verdict. Only
-then it is reported, with a reason that says whether the target goes
-on. After a crash the other daemons receive the suspects before they receive the lost
-requests, so that none of these is retried like any other.
+A run whose connection broke keeps its slot until the crash detector has a verdict. Then
+it is reported with a reason that states whether the target crashed. After a crash, the
+other daemons receive the suspects before the lost requests, so that they don't retry a
+suspect like other requests.
 
-Relies on the crash detector and the records of the `PoisonTracker`, on health checks
-(`TargetWatch`) and on the queue to start what may run next. It owns no state.
+Owns no state. Relies on the crash detector and the records of the `PoisonTracker`, on
+health checks (`TargetWatch`) and on the queue to start further requests.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @attrs.define(kw_only=True)
 class CrashHandler:
-    """Reports lost runs, and distinguishes a crash from a single loss."""
+    """Reports lost runs, and distinguishes a crash from a lost connection."""
 
     ctx: context.Context
     target: target_watch.TargetWatch
@@ -36,12 +36,12 @@
     suspects: tracker.PoisonTracker
 
     def request_failed(self, now: float, event: events.TargetFailed) -> None:
-        """Act on a request that gets no whole answer."""
+        """Handle a request without a complete answer."""
         req = self.runs.by_dispatch.get(event.dispatch)
         if event.refused:
             self.target.mark_down(now, event.detail)
         if req is not None and event.sent:
-            self._lost(now, req)
+            self._hold_lost_run(now, req)
         elif req is not None:
             self.runs.end(now, req)
             self.results.send_rejection(now, req, messages.Reason.NOT_SENT)
@@ -51,7 +51,7 @@
         self.queue.start_next(now)
 
     def probe_answered(self, now: float, event: events.ProbeAnswered) -> None:
-        """Act on the answer to a health check, or on there being none."""
+        """Handle the result of a health check."""
         self.target.probe_answered(now, event)
         detector = self.suspects.crash_detector
         if not detector.lost:
@@ -63,7 +63,7 @@
         self.resolve_lost_runs(now)
 
     def resolve_lost_runs(self, now: float) -> None:
-        """Report the lost runs once it is known whether the target crashed."""
+        """Report the lost runs once the crash detector has a verdict."""
         detector = self.suspects.crash_detector
         if not detector.lost:
             return
@@ -88,10 +88,10 @@
     def suspects_changed(
         self, now: float, changed: list[records.SuspectRecord]
     ) -> None:
-        """Act on suspects that another daemon has reported.
+        """Handle suspects that another daemon has reported.
 
-        Copies of a suspect that run here are stopped where they may be retried: where
-        copies reach ten boxes within 10 ms, only the first one crashes a target.
+        Retryable copies of a suspect that run here are cancelled before they crash the
+        local target too.
         """
         for req in self.suspects.running_suspects(now, changed, self.runs.by_dispatch):
             if req.forward.retryable and not req.streaming:
@@ -102,8 +102,8 @@
             self.queue.reject_suspect(now, req, messages.Reason.BLOCKED)
         self.queue.start_next(now)
 
-    def _lost(self, now: float, req: inbound_request.InboundRequest) -> None:
-        """Keep a lost run in its slot until there is a verdict."""
+    def _hold_lost_run(self, now: float, req: inbound_request.InboundRequest) -> None:
+        """Keep the slot of a lost run until there is a verdict."""
         detector = self.suspects.crash_detector
         if not detector.add(now, req, self.runs.by_dispatch):
             return
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -1,10 +1,10 @@
-"""Brings each heartbeat to the daemon beside its target, and acknowledges it.
+"""Routes each heartbeat to the daemon of its target, and acknowledges it.
 
-A target may send its heartbeat to any daemon. One of another box's target is relayed to
-the daemon there, and acknowledged once that one has acted on it.
+A target may send its heartbeat to any daemon. A heartbeat of another box's target is
+relayed to the daemon there, and acknowledged once that daemon has processed it.
 
-Owns the relays that wait for an acknowledgement. Relies on `TargetWatch` to act on
-heartbeats, and on `PeerTable` to find the daemon beside a target.
+Owns the relays that wait for an acknowledgement. Relies on `TargetWatch` to process
+heartbeats, and on `PeerTable` to find the daemon of a target.
 """
 
 from __future__ import annotations
@@ -15,33 +15,32 @@
 from ferrydeck.mesh.inbound import inbound
 from ferrydeck.mesh.members import peer_table, peers
 
-RELAY_S = 0.8
-"""How long a relayed heartbeat waits for its acknowledgement, seconds: the target waits
-for one second."""
+RELAY_TIMEOUT_S = 0.8
+"""Timeout of a relayed heartbeat, seconds; the target waits for one second."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class RelayTimer:
-    """A heartbeat that was relayed has had its time."""
+    """The timeout of a relayed heartbeat has expired."""
 
     number: int
 
 
 @attrs.define(kw_only=True)
 class Heartbeats:
-    """Acts on heartbeats of this box's target, and relays all others."""
+    """Processes heartbeats of the local target, and relays all others."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
     inbound: inbound.Inbound
     _relays: dict[int, int] = attrs.Factory(dict)
-    """Connections whose heartbeats were relayed, by number."""
+    """Connections of relayed heartbeats, by relay number."""
 
-    def receive(self, now: float, heartbeat: events.Heartbeat) -> None:
-        """Act on a heartbeat, or relay it to the daemon beside its target."""
+    def on_heartbeat(self, now: float, heartbeat: events.Heartbeat) -> None:
+        """Process a heartbeat, or relay it to the daemon of its target."""
         own = heartbeat.address == self.ctx.identity.target_address
-        if own and self._is_of_other_service(heartbeat):
-            # It says nothing of the target that may be used here.
+        if own and self._names_other_service(heartbeat):
+            # The configured service of this box differs, so the target may not be used.
             self.ctx.note(
                 "report",
                 outcome="odd",
@@ -54,17 +53,15 @@
             self.inbound.target.heartbeat(now, heartbeat)
             self._ack(heartbeat.conn, taken=True)
             return
-        peer = self._peer_beside(heartbeat)
+        peer = self._peer_of_target(heartbeat)
         if peer is None or peer.link is not peers.LinkState.UP:
             self.ctx.note("report", outcome="refused", instance=heartbeat.target_id)
             self._ack(heartbeat.conn, taken=False)
             return
         self._send_relay(now, peer, heartbeat)
 
-    def receive_relay(
-        self, now: float, link: int, relay: messages.HeartbeatRelay
-    ) -> None:
-        """Act on a heartbeat that another daemon relayed, and acknowledge it."""
+    def on_relay(self, now: float, link: int, relay: messages.HeartbeatRelay) -> None:
+        """Process a heartbeat that another daemon relayed, and acknowledge it."""
         heartbeat = events.Heartbeat(
             conn=0,
             target_id=relay.target_id,
@@ -82,7 +79,7 @@
         self.ctx.emit(effects.SendBack(link=link, message=ack))
 
     def end_relay(self, number: int, *, taken: bool) -> None:
-        """Answer a heartbeat that was relayed, or that has had its time."""
+        """Acknowledge a relayed heartbeat, after its acknowledgement or timeout."""
         conn = self._relays.pop(number, None)
         if conn is not None:
             self._ack(conn, taken=taken)
@@ -92,7 +89,7 @@
     ) -> None:
         number = self.ctx.number()
         self._relays[number] = heartbeat.conn
-        self.ctx.at(now + RELAY_S, RelayTimer(number=number))
+        self.ctx.at(now + RELAY_TIMEOUT_S, RelayTimer(number=number))
         relay = messages.HeartbeatRelay(
             number=number,
             target_id=heartbeat.target_id,
@@ -110,18 +107,18 @@
     def _ack(self, conn: int, *, taken: bool) -> None:
         self.ctx.emit(effects.AckHeartbeat(conn=conn, taken=taken))
 
-    def _is_of_other_service(self, heartbeat: events.Heartbeat) -> bool:
-        """Return whether a heartbeat names a target that may not be used here."""
+    def _names_other_service(self, heartbeat: events.Heartbeat) -> bool:
+        """Return whether a heartbeat states another service than that of this box."""
         return not heartbeat.gone and heartbeat.service != self.ctx.identity.service
 
     def _may_be_own(self, target_id: str) -> bool:
-        """Return whether a heartbeat without address can be of this box's target."""
+        """Return whether a heartbeat without address may belong to the local target."""
         target = self.inbound.target
-        known = {incarnations.id_of(one) for one in (target.incarnation, *target.left)}
+        known = {incarnations.id_of(inc) for inc in (target.incarnation, *target.left)}
         return not target.incarnation or target_id in known
 
-    def _peer_beside(self, heartbeat: events.Heartbeat) -> peers.Peer | None:
-        """Return the daemon beside the target of a heartbeat, by address or by id."""
+    def _peer_of_target(self, heartbeat: events.Heartbeat) -> peers.Peer | None:
+        """Return the daemon of the target of a heartbeat, by address or by id."""
         if ip := heartbeat.address.rpartition(":")[0]:
             return self.peers.find_by_ip(ip)
         for peer in self.peers.by_address.values():
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -1,11 +1,11 @@
-"""The inbound side of a daemon: the way of a request to the target of its box and back.
+"""The inbound side of a daemon: forwards requests to the local target.
 
-`submit` takes a request, asks `admission` whether it may run, and starts it or has it
-wait (`request_queue`). `target_answered` and `target_answer_part` send the target's
-answer back (`results`); what the target lost goes to `crash_handling`.
+`submit` asks `admission` whether a request may run, then starts or queues it
+(`request_queue`). `target_answered` and `target_answer_part` return the target's answer
+(`results`); requests that the target lost go to `crash_handling`.
 
-Owns the parts of this side and wires them together. Relies on the driver for effects at
-the target, and on `reply` to carry messages to the daemon where a request began.
+Owns the components of the inbound side and connects them. The driver executes the
+effects at the target; `reply` sends messages to the daemon that forwarded a request.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 from ferrydeck.mesh.poison import records, tracker
 
 INITIAL_SERVICE_TIME_S = 0.1
-"""How long a run is assumed to hold a slot until one has ended, seconds."""
-SERVICE_TIME_RUNS = 20
-"""Runs that have ended before other daemons are sent the target's service time."""
+"""Assumed service time until a run has ended, seconds."""
+MIN_SERVICE_TIME_RUNS = 20
+"""Ended runs from which on the service time is reported to other daemons."""
 LOCAL_LINK = 0
-"""The link number of requests that began on this box."""
+"""Link number of requests that this daemon received from a local caller."""
 
 
 @attrs.define(kw_only=True)
 class Inbound:
-    """Admits requests to the target of this box and carries its answers back."""
+    """Admits requests to the local target and returns its answers."""
 
     ctx: context.Context
     reply: Callable[[float, inbound_request.InboundRequest, messages.Any], None]
-    """Sends a message to the daemon where a request began, this one perhaps."""
+    """Sends a message to the daemon that forwarded a request, possibly this one."""
     announce: Callable[[float], None]
-    """Sends the state of the target to all other daemons."""
+    """Sends the target state to all other daemons."""
     suspects: tracker.PoisonTracker
     stopping: bool = False
     correlator: correlation.CallCorrelator = attrs.Factory(correlation.CallCorrelator)
@@ -73,7 +73,7 @@
     def __attrs_post_init__(self) -> None:
         ctx = self.ctx
         self.target = target_watch.TargetWatch(
-            ctx=ctx, opened=self._target_opened, closed=self._target_closed
+            ctx=ctx, on_open=self._target_opened, on_close=self._target_closed
         )
         self.shedder = load_shedding.LoadShedder(
             ctx=ctx, costs=self.costs, prices=self.prices
@@ -118,22 +118,22 @@
 
     @property
     def busy(self) -> int:
-        """Requests that run at the target or wait for it."""
+        """Number of requests that run at the target or wait for it."""
         return len(self.runs) + len(self.waiting) + len(self.suspects.isolation.waiting)
 
     @property
     def service_time_ms(self) -> int:
-        """Mean service time, milliseconds; 0 while not known."""
-        known = self.costs.ended_runs >= SERVICE_TIME_RUNS
+        """Mean service time, milliseconds; 0 while unknown."""
+        known = self.costs.ended_runs >= MIN_SERVICE_TIME_RUNS
         return int(1000 * self.costs.mean_service_time_s) if known else 0
 
     @property
     def limit(self) -> int:
-        """Requests that may run at once."""
+        """Maximum number of concurrent runs."""
         return self.runs.limit
 
     def load(self, now: float) -> messages.Load:
-        """Return the load of the target, as sent with each message of this side."""
+        """Return the load of the target, as sent with each reply."""
         return messages.Load(
             busy=self.busy,
             service_time_ms=self.service_time_ms,
@@ -142,7 +142,7 @@
         )
 
     def state(self, now: float) -> messages.TargetState:
-        """Return the target's state, as announced to the other daemons."""
+        """Return the target state, as announced to the other daemons."""
         phase = messages.Phase.STOPPING if self.stopping else self.target.phase
         return messages.TargetState(
             phase=phase,
@@ -154,7 +154,7 @@
         )
 
     def stop(self, now: float) -> None:
-        """Take no new work, since the daemon is stopping."""
+        """Accept no new requests, since the daemon is stopping."""
         self.stopping = True
         self.announce(now)
         self.queue.reject_all(now, messages.Reason.CLOSED)
@@ -162,9 +162,9 @@
     def submit(
         self, now: float, link: int, forward: messages.Forward, delay_s: float
     ) -> None:
-        """Start a request, have it wait, or reject it.
+        """Start, queue or reject a request.
 
-        `delay_s` is the time that it took on the link, seconds.
+        `delay_s` is the transmission delay of the request on its link, seconds.
         """
         req = self._request(now, link, forward, delay_s)
         self._count_arrival(now, forward)
@@ -172,45 +172,45 @@
         suspect = self.suspects.find_suspect(now, forward)
         match self._admission(now, req, suspect):
             case admission.Rejected(reason=messages.Reason.RETRY_BUDGET as reason):
-                figures = self.retry_budget.snapshot()
-                self.results.send_rejection(now, req, reason, inputs=figures)
+                budget = self.retry_budget.snapshot()
+                self.results.send_rejection(now, req, reason, inputs=budget)
                 return
             case admission.Rejected(reason=reason):
                 self.results.send_rejection(now, req, reason)
                 return
         self.runs.admit(req)
         if forward.first:
-            # A retry is not offered load: it was counted by the target asked first.
+            # The target of the first attempt has counted the offered load of a retry.
             service_time_s = self.costs.service_time_s(forward.route)
-            self.costs.slots.add_offered(service_time_s)
+            self.costs.slot_price.add_offered(service_time_s)
         if suspect is not None:
             self.queue.add_suspect(now, req, suspect)
-        elif self.runs.has_room and not self.waiting:
+        elif self.runs.has_free_slot and not self.waiting:
             self.runs.start(now, req)
         else:
             self.queue.add(now, req)
 
     def check_queue(self, now: float) -> None:
-        """Reject what has waited too long, by a timer while requests wait."""
+        """Reject requests that have waited too long; called by the queue timer."""
         self._update_price(now)
         self.queue.check(now)
 
     def find_parent(
         self, now: float, route: str, remaining_s: float, run_id: str = ""
     ) -> correlation.Match[inbound_request.InboundRequest] | None:
-        """Return the run at this box's target that a request is a call of.
+        """Return the run at the local target that made a request.
 
-        `run_id` is the id of a run as the request names it; where none is named, or
-        no such run is here, the run is found by times.
+        `run_id` is the run id that the request states; without one, or if that run is
+        unknown, the run is matched by its timing.
         """
-        named = self.runs.find(run_id)
-        if named is not None:
-            return correlation.Match(run=named, priority=named.call_priority)
+        run = self.runs.find(run_id)
+        if run is not None:
+            return correlation.Match(run=run, priority=run.call_priority)
         candidates = self.runs.by_dispatch.values()
         return self.correlator.find_parent(now, route, remaining_s, candidates)
 
     def cancel(self, now: float, link: int, number: int) -> None:
-        """Drop a request whose caller is gone; one that can't be retried runs on."""
+        """Cancel a request of a disconnected caller; non-retryable runs continue."""
         req = self.runs.admitted(link, number)
         if req is None:
             return
@@ -225,18 +225,18 @@
         self.queue.start_next(now)
 
     def link_down(self, now: float, link: int) -> None:
-        """Drop the requests that came on a link that is closed."""
-        for number in self.runs.numbers_of(link):
+        """Cancel the requests that were received on a closed link."""
+        for number in self.runs.numbers_on_link(link):
             self.cancel(now, link, number)
 
     def credit(self, link: int, number: int, size: int) -> None:
-        """Read `size` more bytes of a long answer."""
+        """Read `size` more bytes of a streamed answer."""
         req = self.runs.admitted(link, number)
         if req is not None:
             self.ctx.emit(effects.ReadTarget(dispatch=req.dispatch, size=size))
 
     def target_answered(self, now: float, event: events.TargetAnswered) -> None:
-        """Send the target's answer, or the first part of it, back."""
+        """Return the target's answer, or the first part of a streamed one."""
         req = self.runs.by_dispatch.get(event.dispatch)
         if req is None:
             return
@@ -255,18 +255,18 @@
         if event.more:
             req.streaming = True
         else:
-            self._end_answered(now, req, whole=not failed)
+            self._end_answered(now, req, full=not failed)
         self.results.send_answer(now, req, event)
         self.queue.start_next(now)
 
     def target_answer_part(self, now: float, event: events.TargetAnswerPart) -> None:
-        """Send a further part of a long answer back."""
+        """Return a further part of a streamed answer."""
         req = self.runs.by_dispatch.get(event.dispatch)
         if req is None:
             return
         self.runs.answered_at = now
         if event.last:
-            self._end_answered(now, req, whole=True)
+            self._end_answered(now, req, full=True)
         self.results.send_answer_part(now, req, event.data, last=event.last)
         self.queue.start_next(now)
 
@@ -305,7 +305,7 @@
         req: inbound_request.InboundRequest,
         suspect: records.SuspectRecord | None,
     ) -> admission.Result:
-        """Return whether a request is admitted."""
+        """Decide whether a request is admitted."""
         target = self.target
         ready = target.phase is messages.Phase.READY
         inputs = admission.Inputs(
@@ -328,23 +328,23 @@
         )
 
     def _end_answered(
-        self, now: float, req: inbound_request.InboundRequest, *, whole: bool
+        self, now: float, req: inbound_request.InboundRequest, *, full: bool
     ) -> None:
-        """End a run that was answered; one that succeeded is known good."""
-        self.runs.end(now, req, whole=whole)
-        if whole:
+        """End an answered run; a successful one clears its request of suspicion."""
+        self.runs.end(now, req, full=full)
+        if full:
             self.suspects.run_succeeded(now, req)
 
     def _target_rejected(
         self, now: float, req: inbound_request.InboundRequest, facts: events.AnswerFacts
     ) -> None:
-        """Reject a request that the target has rejected, perhaps granting a retry."""
+        """Reject a request that the target rejected; it may be granted a retry."""
         self.runs.end(now, req)
         self.health.count(now, failed=True)
         expected_id = incarnations.id_of(self.target.incarnation)
         if facts.target_id and facts.target_id != expected_id:
             self.target.mark_replaced(now, facts.target_id)
-        granted = self._grants_shed(now, req)
+        granted = self._grant_retry(now, req)
         self.results.send_rejection(
             now,
             req,
@@ -355,22 +355,20 @@
         )
         self.queue.start_next(now)
 
-    def _grants_shed(self, now: float, req: inbound_request.InboundRequest) -> bool:
-        """Return whether a request that the target has shed may be retried."""
+    def _grant_retry(self, now: float, req: inbound_request.InboundRequest) -> bool:
+        """Return whether a request that the target shed may be retried."""
         if not self.ctx.switches.offer_shed_again:
             return False
         by_priority = self.ctx.switches.keep_offers_for_urgent
         priority = req.priority if by_priority else 0
-        return self.retry_budget.grant_shed_retry(
-            now, priority, first_call=req.forward.begins
-        )
+        return self.retry_budget.grant_retry(now, priority, first=req.forward.begins)
 
     def _target_opened(self, now: float) -> None:
-        """Announce that the target takes work."""
+        """Announce that the target accepts requests."""
         self.suspects.incarnation_started()
         self.announce(now)
 
     def _target_closed(self, now: float, reason: messages.Reason) -> None:
-        """Announce that the target takes no work, and reject what waits for it."""
+        """Announce that the target accepts no requests, and reject the queued ones."""
         self.announce(now)
         self.queue.reject_all(now, reason)
--- a/ferrydeck/mesh/inbound/load_shedding.py
+++ b/ferrydeck/mesh/inbound/load_shedding.py
@@ -1,11 +1,9 @@
-"""Decides whether a request of the lowest priority is shed before it uses anything.
+"""Load shedding: decides whether a request of the lowest priority is shed on arrival.
 
-Two figures speak against it, and the larger one is the share of requests that is shed:
-the price of what its run would use (`pricing`), and the share of its route's runs that
-fail behind the target (`shedding`).
+The shed ratio of a route is the larger one of two: by the price of the resources that
+a run would use (`pricing`), and by the failures of its calls (`route_shedding`).
 
-The module owns the shedding controls and the target's own price. It relies on the costs
-of the routes and on the prices that other daemons report (`price_reports`).
+Owns the control of each route. Relies on route costs and on reported prices.
 """
 
 from __future__ import annotations
@@ -15,65 +13,67 @@
 import attrs
 
 from ferrydeck.mesh import context, messages
-from ferrydeck.mesh.inbound import inbound_request, price_reports, pricing, shedding
-
-PRICE_LOG_S = 1.0
-"""Pause between two lines of the log on the price, seconds."""
-DEMAND_POWER = 3.0
-"""How much sooner a route is shed that uses more of a service that is short: one that
-uses three quarters of the most has less than half of its price. The same slots then
-complete more requests, and no kind of request goes without: in twice the load 0.21 to
-0.24 of the entries are served that use so much, and 0.14 to 0.16 of the lookups
-(virtual time)."""
-LATE_WEIGHT = 0.5
-"""What a late answer counts beside a failed one: it earns a third to a half."""
+from ferrydeck.mesh.inbound import (
+    inbound_request,
+    price_reports,
+    pricing,
+    route_shedding,
+)
+
+PRICE_LOG_INTERVAL_S = 1.0
+"""Minimum interval between log lines of the price, seconds."""
+DEMAND_EXPONENT = 3.0
+"""Exponent of the relative demand in the price of a route. Above 1, expensive routes
+are shed much earlier than cheap ones, so that more requests complete."""
+LATE_ANSWER_WEIGHT = 0.5
+"""Weight of a late answer, relative to a failed one."""
 
 
 @attrs.define(kw_only=True)
 class LoadShedder:
-    """Sheds requests by the price of their runs and by the failures of their routes."""
+    """Sheds requests by the price and by the failure ratio of their routes."""
 
     ctx: context.Context
     costs: pricing.Costs
     prices: price_reports.PriceTable
-    shedding: shedding.Shedding = attrs.Factory(shedding.Shedding)
+    routes: route_shedding.RouteTable = attrs.Factory(route_shedding.RouteTable)
     _price_logged_at: float = -1e9
 
-    def sheds(self, now: float, forward: messages.Forward) -> bool:
-        """Return whether a request is shed; it counts as asked for."""
-        share = 0.0
+    def should_shed(self, now: float, forward: messages.Forward) -> bool:
+        """Return whether a request is shed, and count it."""
+        ratio = 0.0
         if self.ctx.switches.price_slots:
-            share = 1.0 - math.exp(-self.price(now, forward.route))
+            ratio = 1.0 - math.exp(-self.price(now, forward.route))
         if forward.came_back and self.ctx.switches.favour_returned:
-            share *= share
-        return self.shedding.route(forward.route).sheds_next(now, share)
+            ratio *= ratio
+        return self.routes.route(forward.route).shed_next(now, ratio)
 
     def price(self, now: float, route: str) -> float:
-        """Return the price of a run of a route, its calls included.
+        """Return the price of a run of a route, including its calls.
 
-        It is that of the service which is shortest for it, weighted by the demand of
-        the run relative to the runs that use most of the service.
+        It is the highest price of a service that the run uses, weighted by the demand
+        of the run relative to the most expensive route.
         """
-        own = self.ctx.identity.service
+        local = self.ctx.identity.service
         price = 0.0
-        for service, demand in self.costs.demand(own, route).items():
+        for service, demand in self.costs.demand(local, route).items():
             if service_price := self._service_price(now, service):
-                weight = self.costs.weight(service, route, demand)
-                price = max(price, service_price * weight**DEMAND_POWER)
+                weight = self.costs.relative_demand(service, route, demand)
+                price = max(price, service_price * weight**DEMAND_EXPONENT)
         return price
 
     def update_price(
         self, now: float, *, limit: int, running: int, waiting_s: float
     ) -> None:
-        """Set the target's own price anew when it is time, and log it if there is one.
+        """Update the price of the local target if it is due, and log a price above 0.
 
-        `waiting_s` is the slot time that the requests in the queue wait for, seconds.
+        `waiting_s` is the slot time of the queued requests, seconds.
         """
-        price = self.costs.slots
+        price = self.costs.slot_price
         if not price.update(now, limit, waiting_s):
             return
         self.prices.set(now, self.ctx.identity.service, price.value)
-        if not price.value or now < self._price_logged_at + PRICE_LOG_S:
+        if not price.value or now < self._price_logged_at + PRICE_LOG_INTERVAL_S:
             return
         self._price_logged_at = now
         self.ctx.note(
@@ -90,19 +90,19 @@
     def count_answer(
         self, now: float, req: inbound_request.InboundRequest, *, failed: bool
     ) -> None:
-        """Count an answer in the share of its route's runs that fail or are late.
+        """Count an answer in the failure ratio of its route; a late one counts in part.
 
-        Where runs make no calls nothing behind the target can be the cause, and the
-        choice of a target avoids one that fails by itself.
+        Routes without calls are not counted, since their failures are those of the
+        target itself, which load balancing avoids.
         """
         makes_calls = self.costs.makes_calls(req.forward.route)
         if not makes_calls or not self.ctx.switches.turn_away_failing:
             return
         late = now > req.arrived_at + req.forward.objective_s > req.arrived_at
-        weight = 1.0 if failed else LATE_WEIGHT * late
-        self.shedding.route(req.forward.route).count_answer(now, weight)
+        weight = 1.0 if failed else LATE_ANSWER_WEIGHT * late
+        self.routes.route(req.forward.route).count_answer(now, weight)
 
     def _service_price(self, now: float, service: str) -> float:
         if service == self.ctx.identity.service:
-            return self.costs.slots.value
+            return self.costs.slot_price.value
         return self.prices.price(now, service)
--- a/ferrydeck/mesh/inbound/queueing.py
+++ b/ferrydeck/mesh/inbound/queueing.py
@@ -1,7 +1,7 @@
-"""A queue with priorities, weighted by slot time so that none of them is starved.
+"""A priority queue that shares slot time by weights, so that no priority is starved.
 
-It owns the waiting items and their order, and knows nothing of requests: who may wait
-is decided in `request_queue`.
+Owns the queued items and their order. It is independent of requests; `request_queue`
+decides which of them may wait.
 """
 
 from __future__ import annotations
@@ -15,32 +15,30 @@
 T = TypeVar("T")
 
 PRIORITY_FACTOR = 4.0
-"""How many times more slot time a priority gets than the next lower one. Strict order
-would let a flood of calls starve the few requests below them; at four, a priority that
-asks for less than a fifth is served whole."""
+"""Ratio of the slot time of a priority to that of the next lower one. Strict priorities
+would let many calls starve the few requests of lower priority."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Waiting(Generic[T]):
-    """An item that waits."""
+    """A queued item."""
 
     item: T
     service_time_s: float
-    """How long it will hold a slot, seconds."""
+    """Expected service time, seconds."""
 
 
 @attrs.define(kw_only=True)
 class PriorityQueue(Generic[T]):
-    """A queue for each priority, in stride scheduling: the smallest pass is next.
+    """A queue per priority with stride scheduling: the smallest pass is served next.
 
-    A pass grows by the slot time that was given, not by the number of requests: one
-    long lookup holds a slot as long as sixteen short calls of a higher priority.
+    Passes advance by slot time, since the service times of requests differ widely.
     """
 
     _queues: dict[int, collections.deque[Waiting[T]]] = attrs.Factory(dict)
     _passes: dict[int, float] = attrs.Factory(dict)
     _queued_s: dict[int, float] = attrs.Factory(dict)
-    """Slot time that each priority waits for, seconds."""
+    """Slot time of the queued items, by priority, seconds."""
     _count: int = 0
 
     def __len__(self) -> int:
@@ -48,40 +46,40 @@
 
     def __iter__(self) -> Iterator[T]:
         for priority in sorted(self._queues):
-            for one in self._queues[priority]:
-                yield one.item
+            for waiting in self._queues[priority]:
+                yield waiting.item
 
     @property
     def service_time_s(self) -> float:
-        """Slot time that all waiting items ask for, seconds."""
+        """Slot time of all queued items, seconds."""
         return sum(self._queued_s.values())
 
     def push(self, priority: int, item: T, service_time_s: float = 1.0) -> None:
-        """Put an item at the end of its priority."""
+        """Append an item to the queue of its priority."""
         queue = self._queues.setdefault(priority, collections.deque())
         if not queue:
-            # A priority that was idle does not catch up on what it did not ask for.
-            others = [self._passes[one] for one, items in self._queues.items() if items]
-            least = min(others, default=0.0)
-            self._passes[priority] = max(self._passes.get(priority, 0.0), least)
+            # An idle priority gets no credit for the time in which it was empty.
+            passes = [self._passes[p] for p, items in self._queues.items() if items]
+            lowest = min(passes, default=0.0)
+            self._passes[priority] = max(self._passes.get(priority, 0.0), lowest)
         queue.append(Waiting(item=item, service_time_s=service_time_s))
         self._add(priority, service_time_s, 1)
 
     def pop(self) -> T:
-        """Take the next item out; raises `IndexError` where there is none."""
+        """Remove and return the next item; raise `IndexError` if the queue is empty."""
         waiting = [priority for priority, queue in self._queues.items() if queue]
         if not waiting:
-            raise IndexError("nothing waits")
-        priority = min(waiting, key=lambda one: (self._passes[one], one))
+            raise IndexError("pop from an empty queue")
+        priority = min(waiting, key=lambda p: (self._passes[p], p))
         first = self._queues[priority].popleft()
         self._passes[priority] += first.service_time_s * PRIORITY_FACTOR**priority
         self._add(priority, -first.service_time_s, -1)
         return first.item
 
     def remove(self, priority: int, item: T) -> bool:
-        """Take an item out; return whether it was there."""
+        """Remove an item; return whether it was queued."""
         queue = self._queues.get(priority, ())
-        found = next((one for one in queue if one.item is item), None)
+        found = next((waiting for waiting in queue if waiting.item is item), None)
         if found is None:
             return False
         queue.remove(found)
@@ -89,22 +87,22 @@
         return True
 
     def last(self) -> T:
-        """Return the newest item of the lowest priority that waits."""
+        """Return the newest item of the lowest queued priority."""
         lowest = max(priority for priority, queue in self._queues.items() if queue)
         return self._queues[lowest][-1].item
 
     def ahead_s(self, priority: int, service_time_s: float) -> float:
-        """Return the slot time that is served before a new item, seconds."""
+        """Return the slot time that would be served before a new item, seconds."""
         own_s = self._queued_s.get(priority, 0.0)
-        before_s = own_s
+        ahead_s = own_s
         for other, queued_s in self._queued_s.items():
             if other != priority:
-                share = PRIORITY_FACTOR ** (priority - other)
-                before_s += min(queued_s, (own_s + service_time_s) * share)
-        return before_s
+                ratio = PRIORITY_FACTOR ** (priority - other)
+                ahead_s += min(queued_s, (own_s + service_time_s) * ratio)
+        return ahead_s
 
     def clear(self) -> list[T]:
-        """Take all items out."""
+        """Remove and return all items."""
         items = list(self)
         self._queues.clear()
         self._queued_s.clear()
--- a/ferrydeck/mesh/inbound/request_queue.py
+++ b/ferrydeck/mesh/inbound/request_queue.py
@@ -1,8 +1,8 @@
-"""The requests that wait for a slot of the target: who waits, who is dropped, who runs.
+"""Queue of requests that wait for a free slot of the target.
 
-Owns the timer that checks the queue. Suspects wait in a queue of their own
-(`isolation`), and both queues are emptied from here. Relies on `runs` for room at the
-target, and on the inbound side to set the timer's checks off.
+Owns the timer that checks the queue. Suspects, which may crash the target, wait in a
+separate queue (`isolation`), which is also served from here. Relies on `runs` for the
+free slots, and on the inbound side to call `check` when the timer expires.
 """
 
 from __future__ import annotations
@@ -21,53 +21,53 @@
 )
 from ferrydeck.mesh.poison import records, tracker
 
-CHECK_S = 0.02
-"""How often the waiting requests are checked for late ones, seconds."""
+CHECK_INTERVAL_S = 0.02
+"""Interval between checks for requests that have waited too long, seconds."""
 MAX_WAITING_PER_SLOT = 4
-"""Requests that wait at most, as a multiple of those that may run at once."""
+"""Maximum queue length per concurrent run."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class QueueTimer:
-    """Time to check the requests that wait."""
+    """Check the queue for requests that have waited too long."""
 
 
-class Place(enum.Enum):
-    """What becomes of a request that finds no slot."""
+class Decision(enum.Enum):
+    """Queueing decision for a request that finds no free slot."""
 
     WAITS = "waits"
     DROPPED = "dropped"
-    """It would start too late to be of use."""
+    """The request would start too late."""
     DISPLACES = "displaces"
-    """It waits, and the last request of the lowest priority is dropped."""
+    """The request waits, and the newest one of the lowest priority is dropped."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Inputs:
-    """What is known as a request joins the queue."""
+    """Inputs of the queueing decision."""
 
     wait_s: float
-    """How long it will wait, by the slot time that is served before it, seconds."""
-    patience_s: float
-    """Until when it has to be started to be of use, seconds from now."""
+    """Expected waiting time of the request, seconds."""
+    max_wait_s: float
+    """Time within which the request has to be started, seconds."""
     waiting: int
-    """Requests in the queue, this one included."""
+    """Queue length, including this request."""
     limit: int
-    """Requests that may run at once."""
+    """Maximum number of concurrent runs."""
 
 
-def place(inputs: Inputs) -> Place:
-    """Return what becomes of a request that finds no slot."""
-    if inputs.wait_s > inputs.patience_s:
-        return Place.DROPPED
+def decide(inputs: Inputs) -> Decision:
+    """Return the queueing decision for a request."""
+    if inputs.wait_s > inputs.max_wait_s:
+        return Decision.DROPPED
     if inputs.waiting > MAX_WAITING_PER_SLOT * inputs.limit:
-        return Place.DISPLACES
-    return Place.WAITS
+        return Decision.DISPLACES
+    return Decision.WAITS
 
 
 @attrs.define(kw_only=True)
 class RequestQueue:
-    """Has requests wait for the target, and starts them as slots become free."""
+    """Queues requests and starts them as slots become free."""
 
     ctx: context.Context
     runs: runs.Runs
@@ -77,7 +77,7 @@
     _timer_set: bool = False
 
     def add(self, now: float, req: inbound_request.InboundRequest) -> None:
-        """Have a request wait, or drop it or another one."""
+        """Queue a request; it or another one may be dropped."""
         costs = self.runs.costs
         limit = self.runs.limit
         service_time_s = costs.service_time_s(req.forward.route)
@@ -87,14 +87,14 @@
         self.waiting.push(req.priority, req, weight_s)
         inputs = Inputs(
             wait_s=wait_s,
-            patience_s=req.start_by - now,
+            max_wait_s=req.start_by - now,
             waiting=len(self.waiting),
             limit=limit,
         )
-        match place(inputs):
-            case Place.DROPPED:
+        match decide(inputs):
+            case Decision.DROPPED:
                 self._drop(now, req)
-            case Place.DISPLACES:
+            case Decision.DISPLACES:
                 self._drop(now, self.waiting.last())
         self.start_next(now)
         self._set_timer(now)
@@ -105,25 +105,25 @@
         req: inbound_request.InboundRequest,
         record: records.SuspectRecord,
     ) -> None:
-        """Have a suspect wait until it may run."""
+        """Queue a suspect until it may run in isolation."""
         self.suspects.isolation.enqueue(req, record)
         self.start_next(now)
         self._set_timer(now)
 
     def remove(self, req: inbound_request.InboundRequest) -> bool:
-        """Take a request out; return whether it was waiting."""
+        """Remove a request; return whether it was queued."""
         isolation = self.suspects.isolation
-        waited = self.waiting.remove(req.priority, req) or isolation.remove(req)
-        if waited:
+        queued = self.waiting.remove(req.priority, req) or isolation.remove(req)
+        if queued:
             self.runs.forget(req)
-        return waited
+        return queued
 
     def start_next(self, now: float) -> None:
-        """Start waiting requests while there is room, suspects first."""
+        """Start queued requests while slots are free, suspects first."""
         isolation = self.suspects.isolation
-        while self.runs.has_room and (req := isolation.pop_next()) is not None:
+        while self.runs.has_free_slot and (req := isolation.pop_next()) is not None:
             self._start(now, req)
-        while self.waiting and self.runs.has_room:
+        while self.waiting and self.runs.has_free_slot:
             req = self.waiting.pop()
             record = self.suspects.find_suspect(now, req.forward)
             if record is not None:
@@ -132,11 +132,11 @@
             self._start(now, req)
 
     def check(self, now: float) -> None:
-        """Reject what has waited too long."""
+        """Reject requests that have waited too long."""
         self._timer_set = False
-        for req in [one for one in self.waiting if now >= one.start_by]:
+        for req in [req for req in self.waiting if now >= req.start_by]:
             self._drop(now, req)
-        for req in [one for one in self.suspects.isolation if now >= one.start_by]:
+        for req in [req for req in self.suspects.isolation if now >= req.start_by]:
             self.reject_suspect(now, req, messages.Reason.SUSPECT)
         self.start_next(now)
         self._set_timer(now)
@@ -144,19 +144,19 @@
     def reject_suspect(
         self, now: float, req: inbound_request.InboundRequest, reason: messages.Reason
     ) -> None:
-        """Reject a suspect that waits."""
+        """Reject a queued suspect."""
         self.suspects.isolation.remove(req)
         self.runs.forget(req)
         self.results.send_rejection(now, req, reason)
 
     def reject_all(self, now: float, reason: messages.Reason) -> None:
-        """Reject all that wait."""
+        """Reject all queued requests."""
         for req in [*self.waiting.clear(), *self.suspects.isolation.pop_all()]:
             self.runs.forget(req)
             self.results.send_rejection(now, req, reason)
 
     def _start(self, now: float, req: inbound_request.InboundRequest) -> None:
-        """Start a request, or reject it where too little time is left."""
+        """Start a request, or reject it if too little time is left."""
         if admission.expired(req.deadline - now):
             self.suspects.isolation.run_ended(req.dispatch)
             self.runs.forget(req)
@@ -170,7 +170,7 @@
         self.results.send_rejection(now, req, messages.Reason.OVERLOAD)
 
     def _set_timer(self, now: float) -> None:
-        some = self.waiting or self.suspects.isolation.waiting
-        if some and not self._timer_set:
+        queued = self.waiting or self.suspects.isolation.waiting
+        if queued and not self._timer_set:
             self._timer_set = True
-            self.ctx.at(now + CHECK_S, QueueTimer())
+            self.ctx.at(now + CHECK_INTERVAL_S, QueueTimer())
--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -1,8 +1,8 @@
-"""Reports to the outbound side what became of a request.
+"""Sends the results of requests to the outbound side.
 
-Each request ends with one of four messages: `Answer` (with parts that follow), or
-`Rejected` (it has not run), or `Broken` (it may have run and no answer will come). The
-log line of the outcome is written first. Each message carries the load of this target.
+Each request ends with an `Answer` (which parts may follow), with `Rejected` (it has not
+run), or with `Broken` (it may have run, and no answer will come). These messages carry
+the load of the target. Failures and rejections are logged before they are sent.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
     ctx: context.Context
     send: Callable[[float, inbound_request.InboundRequest, messages.Any], None]
-    """Sends a message to the daemon where the request began, this one perhaps."""
+    """Sends a message to the daemon that forwarded a request, possibly this one."""
     load: Callable[[float], messages.Load]
-    """Returns the load of this target."""
+    """Returns the load of the local target."""
     runs: runs.Runs
     waiting: queueing.PriorityQueue[inbound_request.InboundRequest]
     shedder: load_shedding.LoadShedder
@@ -48,9 +48,9 @@
         req: inbound_request.InboundRequest,
         event: events.TargetAnswered,
     ) -> None:
-        """Send the target's answer, or the head and first part of a long one."""
+        """Send the target's answer, or the head and first part of a streamed one."""
         route = req.forward.route
-        own = self.ctx.identity.service
+        service = self.ctx.identity.service
         answer = messages.Answer(
             number=req.forward.number,
             status=event.status,
@@ -59,8 +59,8 @@
             more=event.more,
             total=event.total,
             load=self.load(now),
-            demand=self.shedder.costs.demand_pct(own, route),
-            called=self.callers.by_targets(route),
+            demand=self.shedder.costs.demand_pct(service, route),
+            called=self.callers.called_by_targets(route),
         )
         self.send(now, req, answer)
 
@@ -72,7 +72,7 @@
         *,
         last: bool,
     ) -> None:
-        """Send a further part of a long answer."""
+        """Send a further part of a streamed answer."""
         part = messages.AnswerPart(number=req.forward.number, data=data, last=last)
         self.send(now, req, part)
 
@@ -88,7 +88,7 @@
     ) -> None:
         """Report that a request has not run and will not run here.
 
-        `inputs` is what the decision hung on, for its line.
+        `inputs` are logged as the inputs of the decision.
         """
         price = self._price(now, req, reason)
         self.note(req, "refused", reason, **price, **inputs)
@@ -99,14 +99,14 @@
             target_asked=target_asked,
             retry_granted=retry_granted,
             load=self.load(now),
-            called=self.callers.by_targets(req.forward.route),
+            called=self.callers.called_by_targets(req.forward.route),
         )
         self.send(now, req, rejected)
 
     def fail(
         self, now: float, req: inbound_request.InboundRequest, reason: messages.Reason
     ) -> None:
-        """End a run that the target failed, and report that it may have run."""
+        """End a run that failed at the target, and report that it may have run."""
         self.health.count(now, failed=True)
         self.shedder.count_answer(now, req, failed=True)
         self.end_unanswered(now, req, reason)
@@ -152,14 +152,14 @@
                 objective_s=req.forward.objective_s,
                 waiting_s=self.waiting.service_time_s,
                 limit=self.runs.limit,
-                draw=self.ctx.rng.random(),
+                random_value=self.ctx.rng.random(),
             )
         )
 
     def _price(
         self, now: float, req: inbound_request.InboundRequest, reason: messages.Reason
     ) -> dict[str, float]:
-        """Return the price by which a request was shed, as a field of the log line."""
+        """Return the price that caused a request to be shed, as a log field."""
         if reason is not messages.Reason.SHED:
             return {}
         return {"price": round(self.shedder.price(now, req.forward.route), 2)}
--- a/ferrydeck/mesh/inbound/retry_after.py
+++ b/ferrydeck/mesh/inbound/retry_after.py
@@ -1,8 +1,8 @@
-"""Decides when the caller of a rejected request may come back.
+"""Computes the `Retry-After` time of a rejected request.
 
-The time is sent with the rejection and reaches the caller as `Retry-After`. It is drawn
-from a range, so that callers who were rejected together do not return together. The
-module owns no state; the caller of `decide` makes the random draw.
+The time is sent with the rejection. It contains jitter, so that callers that were
+rejected together don't retry together. The module owns no state; the caller of `decide`
+draws the random number.
 """
 
 from __future__ import annotations
@@ -11,48 +11,48 @@
 
 from ferrydeck.mesh import messages
 
-MIN_S = 0.05
-"""Shortest time that is sent, seconds."""
-MAX_S = 2.0
-"""Longest time that is sent, seconds."""
-SPREAD_LEAST = 0.75
-"""Factor of the earliest return."""
-SPREAD_WIDTH = 0.5
-"""How far the factor of the latest return lies above that of the earliest one."""
-SHED_MIN_S = 0.5
-"""Earliest return after a request was shed, seconds: two windows of the control
-(`shedding.WINDOW_S`)."""
-RETURN_MARGIN_S = 0.1
-"""Time left for the way of a request that comes back, seconds."""
+MIN_RETRY_AFTER_S = 0.05
+"""Shortest retry-after time, seconds."""
+MAX_RETRY_AFTER_S = 2.0
+"""Longest retry-after time, seconds."""
+MIN_JITTER = 0.75
+"""Smallest jitter factor."""
+JITTER_RANGE = 0.5
+"""Difference of the largest and the smallest jitter factor."""
+MIN_SHED_RETRY_AFTER_S = 0.5
+"""Shortest time after a request was shed, before jitter, seconds: two windows of the
+shedding control (`route_shedding.WINDOW_S`)."""
+RETRY_MARGIN_S = 0.1
+"""Time reserved for the transmission of the retry, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Inputs:
-    """What the time depends on."""
+    """Inputs of the retry-after time."""
 
     reason: messages.Reason
     service_time_s: float
-    """How long a run of the route holds a slot, seconds."""
+    """Expected service time of the route, seconds."""
     objective_s: float
-    """Time within which an answer is on time, seconds."""
+    """Latency objective of the route, seconds."""
     waiting_s: float
-    """Slot time that the requests in the queue wait for, seconds."""
+    """Slot time of the queued requests, seconds."""
     limit: int
-    """Requests that may run at once."""
-    draw: float
+    """Maximum number of concurrent runs."""
+    random_value: float
     """A random number from 0 to 1."""
 
 
 def decide(inputs: Inputs) -> float:
-    """Return after how many seconds the caller may come back.
+    """Return the retry-after time, seconds.
 
-    A full queue is worked off at a time that can be computed. While requests are shed
-    there is no such time: the caller is sent the latest one at which an answer is still
-    on time for it, so that its second try is worth as much as a first one.
+    For a full queue it is the time to drain the queue. After shedding there is no such
+    time, so the caller gets the latest one at which an answer can still meet the
+    latency objective.
     """
-    clear_s = (inputs.waiting_s + inputs.service_time_s) / inputs.limit
+    delay_s = (inputs.waiting_s + inputs.service_time_s) / inputs.limit
     if inputs.reason is messages.Reason.SHED:
-        on_time_s = inputs.objective_s - inputs.service_time_s - RETURN_MARGIN_S
-        clear_s = max(SHED_MIN_S, on_time_s / (SPREAD_LEAST + SPREAD_WIDTH))
-    spread = SPREAD_LEAST + SPREAD_WIDTH * inputs.draw
-    return min(MAX_S, max(MIN_S, clear_s * spread))
+        on_time_s = inputs.objective_s - inputs.service_time_s - RETRY_MARGIN_S
+        delay_s = max(MIN_SHED_RETRY_AFTER_S, on_time_s / (MIN_JITTER + JITTER_RANGE))
+    jitter = MIN_JITTER + JITTER_RANGE * inputs.random_value
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, delay_s * jitter))
--- a/ferrydeck/mesh/inbound/retry_budget.py
+++ b/ferrydeck/mesh/inbound/retry_budget.py
@@ -1,26 +1,22 @@
-"""Decides how often requests are retried, on the inbound side they go to.
+"""Retry budget: limits the retries that a daemon grants for its target.
 
-The agreed bound counts the attempts at all targets of a service against the requests
-for it, in sliding windows. Each inbound side sees its target's part of both, so each
-keeps the bound for its part and all of them keep it together. Requests in the window
-before count too: when every target of a service sheds, callers further up give up
-early, and what could be retried would dwindle with them.
+The limit applies to a whole service: the retries in each sliding window are bounded by
+a ratio of the requests plus a fixed slack. Each daemon enforces the bound on the
+requests of its own target. Requests of the previous window count too: while all targets
+shed, callers give up early, and the budget would shrink with the request rate.
 
-What targets shed is retried by priority. A run that makes eight calls needs each of
-them: retries spread over all runs would complete none.
+Retries of shed requests are granted by priority. A run that makes eight calls needs all
+of them to succeed, so retries spread evenly over all runs would complete none.
 
-Sides that grant retries report their counts to each other (`retry_exchange`). The
-largest window of each side may add up to more than the largest of the service, where
-requests move from one target to another; so what is left of the bound by the counts of
-all sides is divided among them for each period, and a side grants no more than that.
-Where no side reports, each keeps the bound for its part alone.
+Daemons that grant retries report their counts to each other (`retry_exchange`). When
+requests move between targets, the bounds of the targets may add up to more than that of
+the service, so its remaining budget is divided among the daemons in each period.
 
-A request that may have run before is granted as well, but where its run makes calls
-only to a small share: its calls arrive again at the services behind, at each level of
-a chain on top of the one above.
+Reruns of requests that may have run are granted too. If they make calls, they get a
+smaller share, since retries multiply along a call chain.
 
-Owns the counts of its windows, and in `service_counts` those of the other sides. Relies
-on the inbound side to count each request, dispatch and retry.
+Owns the counts of this daemon; `service_counts` holds those of the others. Relies on
+the inbound side to count each request, dispatch and retry.
 """
 
 from __future__ import annotations
@@ -33,77 +29,81 @@
 
 from ferrydeck.mesh.inbound import service_counts
 
-SHARE = 0.85
-"""Part of the agreed ratio up to which requests are retried. The calls of second runs
-count too as far as they are known as such; the rest is for those that are not."""
+RATIO_SHARE = 0.85
+"""Fraction of the agreed ratio that is granted; the rest is for calls of
+retried runs that aren't recognized as retries."""
 CALLING_SHARE = 0.25
-"""Part of the agreed ratio up to which runs that make calls are retried: with chains
-of four services each level may add as much as the one above it."""
+"""Fraction of the agreed ratio for reruns that make calls: in a chain of four services
+each level may add as many retries as the one above."""
 SLACK_SHARE = 0.75
-"""Part of the agreed slack that the inbound sides of a service spend together without
-any request: a box that is lost takes some requests of all others with it at once."""
+"""Fraction of the agreed slack that the daemons of a service spend together, such as
+when the failure of a box affects many requests at once."""
 STEP_S = 0.5
-"""How long requests are counted together, seconds: a twentieth of a window."""
-RECENT_STEPS = 4
-"""Steps by which it is judged how many requests of a priority come."""
-RATE_STEPS = 2
-"""Steps over which it is measured how often the target sheds."""
-SHED_MOST = 0.9
-"""Share of shed requests that is reckoned with at most."""
-TARGETS_A_STEP = 16
-"""Targets of a service up to which its sides report in each step; of more, so much less
-often: a daemon sends some thirty reports a second at the most."""
+"""Width of a counting step, seconds: a twentieth of a window."""
+DEMAND_STEPS = 4
+"""Steps over which the request rate of a priority is measured."""
+SHED_RATIO_STEPS = 2
+"""Steps over which the shed ratio of the target is measured."""
+MAX_SHED_RATIO = 0.9
+"""Upper limit of the measured shed ratio."""
+TARGETS_PER_STEP = 16
+"""Targets up to which daemons report in every step; with more targets the period grows,
+so that a daemon sends about thirty reports a second at most."""
 
 
 @attrs.define(kw_only=True)
 class RetryBudget:
-    """The part of the bound that one inbound side keeps."""
+    """Enforces the retry bound on one target."""
 
     ratio: float
-    """Agreed retries for each request."""
+    """Agreed retries per request."""
     slack: float
-    """Agreed retries in a window without any request, over the whole service."""
+    """Agreed retries per window regardless of requests, for the whole service."""
     window_s: float
     started_at: float = float("-inf")
-    """When this daemon started, where one ran on its box before: what that one has
-    granted is not known."""
+    """Start of this daemon, if another one ran on the box before; the grants of that
+    one are unknown."""
     target_count: int = 0
-    """Targets of the service; never less than were ever seen, 0 while not known."""
-    _first: collections.Counter[int] = attrs.Factory(collections.Counter)
-    """Requests by step that came here first."""
-    _priorities: collections.Counter[tuple[int, int]] = attrs.Factory(
+    """Largest observed number of targets of the service; 0 while unknown."""
+    _requests: collections.Counter[int] = attrs.Factory(collections.Counter)
+    """First attempts by step."""
+    _requests_by_priority: collections.Counter[tuple[int, int]] = attrs.Factory(
         collections.Counter
     )
-    """The same by step and priority, of the last steps."""
-    _asked: collections.Counter[tuple[int, int]] = attrs.Factory(collections.Counter)
-    """Shed requests by step and priority that may be retried, of the last steps."""
+    """First attempts by step and priority, in the last `DEMAND_STEPS`."""
+    _shed_by_priority: collections.Counter[tuple[int, int]] = attrs.Factory(
+        collections.Counter
+    )
+    """Shed retryable requests by step and priority, in the last `DEMAND_STEPS`."""
     _granted: collections.Counter[int] = attrs.Factory(collections.Counter)
-    """Retries by step, those of requests that may have run included."""
+    """Granted retries by step, reruns included."""
     _dispatched: collections.Counter[int] = attrs.Factory(collections.Counter)
-    """Requests by step that were sent to the target."""
+    """Requests sent to the target, by step."""
     _shed: collections.Counter[int] = attrs.Factory(collections.Counter)
-    """Those of them that it shed."""
-    others: service_counts.ServiceCounts = attrs.Factory(service_counts.ServiceCounts)
-    """What the other sides of the service have reported."""
+    """Requests shed by the target, by step."""
+    peer_counts: service_counts.ServiceCounts = attrs.Factory(
+        service_counts.ServiceCounts
+    )
+    """Counts reported by the other daemons of the service."""
     _step: int = -1
     _first_step: int | None = None
-    """The first step in which anything was counted."""
+    """The first step of this budget."""
     _quota: float = float("inf")
-    """What may be granted in this period by the counts of all sides."""
-    _quota_before: float = 0.0
-    """The same of the period before; 0 where there was no limit."""
+    """Grants allowed in this period by the counts of all daemons."""
+    _previous_quota: float = 0.0
+    """Quota of the previous period; 0 if it was unlimited."""
     _allowed: list[float] = attrs.Factory(list)
-    """The bounds of the windows that end with this step and with each later one."""
+    """Bounds of the windows that contain the current step, by their end."""
 
     def observe_target_count(self, count: int) -> None:
-        """Note how many targets the service has; this one's part only shrinks."""
+        """Record the number of targets; only a larger one has an effect."""
         self.target_count = max(self.target_count, count)
 
     def count_request(self, now: float, priority: int) -> None:
-        """Count a request that no inbound side has received before."""
+        """Count the first attempt of a request."""
         self._advance(now)
-        self._first[self._step] += 1
-        self._priorities[self._step, priority] += 1
+        self._requests[self._step] += 1
+        self._requests_by_priority[self._step, priority] += 1
 
     def count_dispatch(self, now: float) -> None:
         """Count a request that is sent to the target."""
@@ -111,37 +111,33 @@
         self._dispatched[self._step] += 1
 
     def count_retry(self, now: float) -> None:
-        """Count a call of a second run."""
+        """Count a call that a retried run made."""
         self._advance(now)
         self._granted[self._step] += 1
 
-    def grant_shed_retry(
-        self, now: float, priority: int, *, first_call: bool = False
-    ) -> bool:
-        """Return whether a request that was shed may be retried, and count it.
+    def grant_retry(self, now: float, priority: int, *, first: bool = False) -> bool:
+        """Grant or deny a retry of a shed request, and count it.
 
-        `first_call` says that it is the first call of a run: while there are too few
-        retries for all of its priority, they go to runs that are under way. A run that
-        ends at its first call costs little, and the retries of one that ends at its
-        last call are all lost.
+        `first` marks the first call of a run. If there are too few retries for all
+        requests of a priority, other calls take precedence, whose runs have used more.
         """
         self._advance(now)
         self._shed[self._step] += 1
-        self._asked[self._step, priority] += 1
-        if self._left(self._asked_per_s(priority)) < 1.0:
+        self._shed_by_priority[self._step, priority] += 1
+        if self._remaining(self._demand_per_s(priority)) < 1.0:
             return False
-        if first_call and self._left(self._asked_per_s(priority + 1)) < 0.0:
+        if first and self._remaining(self._demand_per_s(priority + 1)) < 0.0:
             return False
         self._granted[self._step] += 1
         return True
 
     def grant_rerun(self, now: float, *, makes_calls: bool) -> bool:
-        """Return whether a request that may have run before may run, and count it."""
+        """Grant or deny another run of a request that may have run, and count it."""
         self._advance(now)
-        left = self._left()
+        left = self._remaining()
         if makes_calls:
             used = sum(self._granted.values())
-            left = min(left, CALLING_SHARE / SHARE * (left + used) - used)
+            left = min(left, CALLING_SHARE / RATIO_SHARE * (left + used) - used)
         if left < 1.0:
             return False
         self._granted[self._step] += 1
@@ -149,165 +145,165 @@
 
     @property
     def period(self) -> int:
-        """Steps between two reports."""
-        return max(1, math.ceil(self.target_count / TARGETS_A_STEP))
+        """Interval between reports, in steps."""
+        return max(1, math.ceil(self.target_count / TARGETS_PER_STEP))
 
     def report(self, now: float) -> tuple[list[int], list[int]] | None:
-        """Return requests and retries by step, the newest whole one first.
+        """Return requests and retries by completed step, the newest first.
 
-        `None` while no side has granted any lately.
+        `None` if no daemon has granted a retry within the window.
         """
         self._advance(now)
-        if not self._granted and not any(self.others.retries.values()):
+        if not self._granted and not any(self.peer_counts.retries.values()):
             return None
-        window = self._window
-        back = min(2 * window, self._step - self._first_step)
-        steps = range(self._step - 1, self._step - 1 - back, -1)
-        requests = [self._first.get(one, 0) for one in steps]
-        return requests, [self._granted.get(one, 0) for one in steps[:window]]
+        window = self._window_steps
+        length = min(2 * window, self._step - self._first_step)
+        steps = range(self._step - 1, self._step - 1 - length, -1)
+        requests = [self._requests.get(step, 0) for step in steps]
+        return requests, [self._granted.get(step, 0) for step in steps[:window]]
 
     def report_received(
         self, now: float, address: str, requests: list[int], retries: list[int]
     ) -> None:
-        """Take what another side has counted."""
+        """Store the counts of another daemon."""
         self._advance(now)
-        self.others.received(self._step, address, requests, retries)
+        self.peer_counts.received(self._step, address, requests, retries)
         self._renew_quota()
 
     def snapshot(self) -> dict[str, float]:
-        """Return what the next grant hangs on, for the log and the metrics."""
+        """Return the inputs of the next decision, for the log and the metrics."""
         return {
             "granted": sum(self._granted.values()),
             "allowed": round(min(self._allowed, default=0.0), 1),
             "targets": self.target_count,
         }
 
-    def _left(self, kept_per_s: float = 0.0) -> float:
-        """Return what may be granted now in each window that the present is in.
+    def _remaining(self, reserved_per_s: float = 0.0) -> float:
+        """Return the grants left in all windows that contain the current step.
 
-        `kept_per_s` is kept for higher priorities, from now to each window's end: what
-        was granted in earlier seconds no longer counts by then.
+        `reserved_per_s` is reserved for higher priorities until the end of each window,
+        when earlier grants have left it.
         """
-        spent = sum(self._granted.values())
-        least = float("inf")
+        granted = sum(self._granted.values())
+        remaining = float("inf")
         for ahead, allowed in enumerate(self._allowed):
-            spent -= self._granted.get(self._step + ahead - len(self._allowed), 0)
-            kept = kept_per_s * STEP_S * (ahead + 1)
-            least = min(least, allowed - spent - kept)
-        return min(least, self._quota - self._granted_from(self._period_begins))
+            granted -= self._granted.get(self._step + ahead - len(self._allowed), 0)
+            reserved = reserved_per_s * STEP_S * (ahead + 1)
+            remaining = min(remaining, allowed - granted - reserved)
+        return min(remaining, self._quota - self._granted_since(self._period_start))
 
     def _renew_quota(self) -> None:
-        """Set what this side may grant in this period, by the counts of all sides."""
-        fresh = self.others.fresh(self._step, self.period)
-        if not fresh:
+        """Set the quota of this period by the counts of all daemons."""
+        reporting = self.peer_counts.count_reporting(self._step, self.period)
+        if not reporting:
             self._quota = float("inf")
             return
-        # Who has not reported yet may have granted as much as this side might.
-        awaited = self.others.awaited(self._step, self.period)
-        left = self._service_left() - awaited * self._quota_before
-        self._quota = max(0.0, left) / (1 + fresh)
-
-    def _service_left(self) -> float:
-        """Return what all sides may grant in this period, in all of its windows."""
-        window, begins = self._window, self._period_begins
-        requests = self._sums(self._first, self.others.requests)
-        own = {one: count for one, count in self._granted.items() if one < begins}
-        granted = self._sums(own, self.others.retries)
-        known = min(len(self.others), max(0, self.target_count - 1))
+        # A daemon that has not reported yet may have used its whole quota.
+        missing = self.peer_counts.count_missing(self._step, self.period)
+        remaining = self._service_remaining() - missing * self._previous_quota
+        self._quota = max(0.0, remaining) / (1 + reporting)
+
+    def _service_remaining(self) -> float:
+        """Return the grants left to all daemons at the start of this period."""
+        window, start = self._window_steps, self._period_start
+        requests = self._prefix_sums(self._requests, self.peer_counts.requests)
+        own = {step: count for step, count in self._granted.items() if step < start}
+        granted = self._prefix_sums(own, self.peer_counts.retries)
+        known = min(len(self.peer_counts), max(0, self.target_count - 1))
         slack = self.slack * SLACK_SHARE * known / max(1, self.target_count)
-        least = float("inf")
-        for end in self._ends:
+        remaining = float("inf")
+        for end in self._window_ends:
             ends = (end, end - window // 2, end - window)
-            most = max(requests.between(one - window, one) for one in ends)
-            allowed = self.ratio * SHARE * most + slack + self._slack_part(end)
-            least = min(least, allowed - granted.between(end - window, end))
-        return least
+            peak = max(requests.between(last - window, last) for last in ends)
+            allowed = self.ratio * RATIO_SHARE * peak + slack + self._slack_part(end)
+            remaining = min(remaining, allowed - granted.between(end - window, end))
+        return remaining
 
-    def _sums(self, *counts: Mapping[int, int]) -> service_counts.Sums:
-        since = self._step - 2 * self._window
-        return service_counts.sums(since, self._step, *counts)
+    def _prefix_sums(self, *counts: Mapping[int, int]) -> service_counts.PrefixSums:
+        since = self._step - 2 * self._window_steps
+        return service_counts.prefix_sums(since, self._step, *counts)
 
     @property
-    def _window(self) -> int:
+    def _window_steps(self) -> int:
         return math.ceil(self.window_s / STEP_S)
 
     @property
-    def _ends(self) -> range:
-        """The last steps of the windows that the present is in."""
-        return range(self._step, self._step + self._window)
+    def _window_ends(self) -> range:
+        """The last steps of all windows that contain the current step."""
+        return range(self._step, self._step + self._window_steps)
 
     @property
-    def _period_begins(self) -> int:
+    def _period_start(self) -> int:
         return self._step - self._step % self.period
 
-    def _granted_from(self, step: int) -> int:
-        return sum(count for one, count in self._granted.items() if one >= step)
+    def _granted_since(self, step: int) -> int:
+        return sum(count for at, count in self._granted.items() if at >= step)
 
-    def _asked_per_s(self, priority: int) -> float:
-        """Return the retries a second that requests above a priority ask for.
+    def _demand_per_s(self, priority: int) -> float:
+        """Return the retry rate needed by requests above a priority, per second.
 
-        As many as they ask for now, or will if as many requests come as now and each is
-        shed and retried until it is served. Fewer come than before the targets shed,
-        since runs end early.
+        This is the larger one of the measured rate and of the rate at which the present
+        requests would be retried until each succeeds. Requests arrive at a lower rate
+        while targets shed, since runs end early.
         """
-        span_s = RECENT_STEPS * STEP_S
-        asked = self._of_higher_priority(priority, self._asked)
+        span_s = DEMAND_STEPS * STEP_S
+        measured = self._sum_above(priority, self._shed_by_priority)
         shed = sum(self._shed.values()) / max(1, sum(self._dispatched.values()))
-        shed = min(SHED_MOST, shed)
-        to_come = (
-            self._of_higher_priority(priority, self._priorities) * shed / (1.0 - shed)
+        shed = min(MAX_SHED_RATIO, shed)
+        expected = (
+            self._sum_above(priority, self._requests_by_priority) * shed / (1.0 - shed)
         )
-        return max(asked, to_come) / span_s
+        return max(measured, expected) / span_s
 
-    def _of_higher_priority(
+    def _sum_above(
         self, priority: int, counts: collections.Counter[tuple[int, int]]
     ) -> int:
-        """Return what was counted for higher priorities in the last steps."""
+        """Return the sum over higher priorities, in the last `DEMAND_STEPS`."""
         return sum(
             count
             for (step, other), count in counts.items()
-            if other < priority and step > self._step - RECENT_STEPS
+            if other < priority and step > self._step - DEMAND_STEPS
         )
 
     def _advance(self, now: float) -> None:
-        """Forget old steps and set anew what is allowed, once a step."""
+        """Drop expired steps and update the bounds, once per step."""
         step = int(now / STEP_S)
         if step == self._step:
             return
         if step - step % self.period > self._step:
-            self._quota_before = self._quota if self._quota < float("inf") else 0.0
+            self._previous_quota = self._quota if self._quota < float("inf") else 0.0
         self._step = step
         if self._first_step is None:
             self._first_step = step
-        window = self._window
-        service_counts.forget(self._first, step - 2 * window)
+        window = self._window_steps
+        service_counts.forget(self._requests, step - 2 * window)
         service_counts.forget(self._granted, step - window)
-        service_counts.forget(self._dispatched, step - RATE_STEPS)
-        service_counts.forget(self._shed, step - RATE_STEPS)
-        for counts in (self._priorities, self._asked):
-            for old in [one for one in counts if one[0] <= step - RECENT_STEPS]:
-                del counts[old]
-        self.others.forget(step - 2 * window)
-        self._allowed = [self._allowed_until(end, window) for end in self._ends]
+        service_counts.forget(self._dispatched, step - SHED_RATIO_STEPS)
+        service_counts.forget(self._shed, step - SHED_RATIO_STEPS)
+        for counts in (self._requests_by_priority, self._shed_by_priority):
+            for key in [key for key in counts if key[0] <= step - DEMAND_STEPS]:
+                del counts[key]
+        self.peer_counts.forget(step - 2 * window)
+        self._allowed = [self._allowed_at(end, window) for end in self._window_ends]
         self._renew_quota()
 
-    def _allowed_until(self, end: int, window: int) -> float:
-        """Return the bound of a window by the requests that are known so far."""
+    def _allowed_at(self, end: int, window: int) -> float:
+        """Return the bound of the window that ends with a step."""
         ends = (end, end - window // 2, end - window)
-        most = max(self._count_first(one - window, one) for one in ends)
-        return self.ratio * SHARE * most + self._slack_part(end)
+        peak = max(self._count_requests(last - window, last) for last in ends)
+        return self.ratio * RATIO_SHARE * peak + self._slack_part(end)
 
     def _slack_part(self, end: int) -> float:
-        """Return this side's part of the slack, in the window that ends with a step.
+        """Return this daemon's part of the slack, in the window that ends with a step.
 
-        There is none in a window in which another daemon of this box may have spent
-        it, nor while it is not known how many others have one.
+        It is 0 if an earlier daemon of this box may have spent it in the window, or
+        while the number of targets is unknown.
         """
         if not self.target_count or end * STEP_S - self.window_s < self.started_at:
             return 0.0
         return self.slack * SLACK_SHARE / self.target_count
 
-    def _count_first(self, after: int, until: int) -> int:
+    def _count_requests(self, after: int, until: int) -> int:
         return sum(
-            count for step, count in self._first.items() if after < step <= until
+            count for step, count in self._requests.items() if after < step <= until
         )
--- a/ferrydeck/mesh/inbound/retry_exchange.py
+++ b/ferrydeck/mesh/inbound/retry_exchange.py
@@ -1,9 +1,9 @@
-"""Tells the daemons of a service's other targets how many retries are granted here.
+"""Exchanges retry counts with the daemons of the service's other targets.
 
-Counts go out on the links that this daemon has dialled, once a period, while any side
-grants retries. On the links that the others dialled they would pass for answers, and
-hide that nothing of theirs arrives. Owns the time of the last report; the counts are
-`retry_budget`'s.
+Counts are sent once per period while any daemon grants retries. They are sent on
+outgoing links only: on incoming links they would count as replies, and hide that the
+messages of the peer are lost. Owns the period of the last report; `retry_budget` owns
+the counts.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @attrs.define(kw_only=True)
 class RetryExchange:
-    """Sends this side's counts, and takes those of the others."""
+    """Sends the counts of this daemon, and receives those of the others."""
 
     ctx: context.Context
     peers: peer_table.PeerTable
@@ -26,7 +26,7 @@
     """The period of the last report."""
 
     def tick(self, now: float) -> None:
-        """Send a report where a new period has begun; to be called often."""
+        """Send a report if a new period has begun; must be called often."""
         period = int(now / retry_budget.STEP_S) // self.budget.period
         if period == self._reported:
             return
@@ -37,14 +37,14 @@
         requests, retries = counts
         message = messages.RetryCounts(requests=requests, retries=retries)
         for peer in self.peers.by_address.values():
-            if self._takes_counts(peer):
+            if self._accepts_counts(peer):
                 self.ctx.send(peer.address, message)
 
     def received(self, now: float, address: str, counts: messages.RetryCounts) -> None:
-        """Take the counts of the daemon at an address."""
+        """Store the counts of the daemon at an address."""
         self.budget.report_received(now, address, counts.requests, counts.retries)
 
-    def _takes_counts(self, peer: peers.Peer) -> bool:
+    def _accepts_counts(self, peer: peers.Peer) -> bool:
         linked = peer.link is peers.LinkState.UP
         known = peer.protocol_version >= messages.RETRY_PROTOCOL
         return linked and known and peer.service == self.ctx.identity.service
--- a/ferrydeck/mesh/inbound/runs.py
+++ b/ferrydeck/mesh/inbound/runs.py
@@ -1,8 +1,8 @@
-"""The requests that were admitted here, until they end, and those that run.
+"""The admitted requests until they end, and their runs at the target.
 
-Owns the table of admitted requests by link and number, and of runs by dispatch and by
-request id. Relies on the driver to carry out each `Dispatch`, and feeds what a run has
-used into the costs of its route.
+Owns the tables of admitted requests by link and number, and of runs by dispatch number
+and request id. Relies on the driver to execute each `Dispatch`, and adds ended runs to
+the costs of their routes.
 """
 
 from __future__ import annotations
@@ -10,19 +10,14 @@
 import attrs
 
 from ferrydeck.mesh import context, effects, incarnations
-from ferrydeck.mesh.inbound import (
-    inbound_request,
-    pricing,
-    retry_budget,
-    target_watch,
-)
+from ferrydeck.mesh.inbound import inbound_request, pricing, retry_budget, target_watch
 from ferrydeck.mesh.poison import isolation
 
-USED_SLOTS = 0.95
-"""Part of its slots that a target is given: some become slower when nearly full, and a
-new connection or a health check may hold a slot too."""
-UNKNOWN_SLOTS = 8
-"""Requests that run at once while the slots of the target are not known."""
+USED_SLOTS_RATIO = 0.95
+"""Fraction of the target's slots that is used: some targets slow down when nearly full,
+and new connections and health checks may need slots too."""
+DEFAULT_SLOTS = 8
+"""Limit of concurrent runs while the slots of the target are unknown."""
 
 
 @attrs.define(kw_only=True)
@@ -35,52 +30,52 @@
     retry_budget: retry_budget.RetryBudget
     isolation: isolation.IsolationQueue
     by_dispatch: dict[int, inbound_request.InboundRequest] = attrs.Factory(dict)
-    """The runs at the target, the oldest first."""
+    """The runs at the target by dispatch number, the oldest first."""
     answered_at: float = 0.0
-    """When the target last answered a run, in part or whole."""
+    """Time of the target's last complete or partial answer."""
     _admitted: dict[tuple[int, int], inbound_request.InboundRequest] = attrs.Factory(
         dict
     )
-    """Requests that run or wait, by link and number."""
+    """Running and queued requests, by link and number."""
     _by_request_id: dict[str, inbound_request.InboundRequest] = attrs.Factory(dict)
 
     def __len__(self) -> int:
-        """Return how many requests run at the target."""
+        """Return the number of requests that run at the target."""
         return len(self.by_dispatch)
 
     @property
     def limit(self) -> int:
-        """Requests that may run at once."""
+        """Maximum number of concurrent runs."""
         slots = self.target.slots
-        return max(1, int(USED_SLOTS * slots)) if slots else UNKNOWN_SLOTS
+        return max(1, int(USED_SLOTS_RATIO * slots)) if slots else DEFAULT_SLOTS
 
     @property
-    def has_room(self) -> bool:
-        """Whether one more request may run."""
+    def has_free_slot(self) -> bool:
+        """Whether another request may run."""
         return len(self.by_dispatch) < self.limit
 
     def admit(self, req: inbound_request.InboundRequest) -> None:
-        """Remember a request that will run, or wait until it may."""
+        """Add a request that will run or be queued."""
         self._admitted[req.link, req.forward.number] = req
 
     def admitted(self, link: int, number: int) -> inbound_request.InboundRequest | None:
-        """Return the request of a number on a link; `None` if it has ended."""
+        """Return the request with a number on a link; `None` if it has ended."""
         return self._admitted.get((link, number))
 
-    def numbers_of(self, link: int) -> list[int]:
-        """Return the numbers of the requests of a link that have not ended."""
-        return [number for at, number in self._admitted if at == link]
+    def numbers_on_link(self, link: int) -> list[int]:
+        """Return the numbers of the unfinished requests of a link."""
+        return [number for its_link, number in self._admitted if its_link == link]
 
     def forget(self, req: inbound_request.InboundRequest) -> None:
-        """Forget a request that will not run."""
+        """Remove a request that has ended or will not run."""
         self._admitted.pop((req.link, req.forward.number), None)
 
     def find(self, request_id: str) -> inbound_request.InboundRequest | None:
-        """Return the run of a request id; `None` if there is none here."""
+        """Return the run with a request id; `None` if unknown."""
         return self._by_request_id.get(request_id)
 
     def silent_s(self, now: float) -> float:
-        """Return how long the target has runs and has answered nothing, seconds."""
+        """Return how long the target has had runs without answering any, seconds."""
         if not self.by_dispatch:
             return 0.0
         oldest = next(iter(self.by_dispatch.values()))
@@ -111,9 +106,9 @@
         )
 
     def end(
-        self, now: float, req: inbound_request.InboundRequest, *, whole: bool = False
+        self, now: float, req: inbound_request.InboundRequest, *, full: bool = False
     ) -> None:
-        """Free the slot of a run; `whole` if it made all of its calls."""
+        """End a run and free its slot; `full` if it made all of its calls."""
         self.by_dispatch.pop(req.dispatch, None)
         self.isolation.run_ended(req.dispatch)
         if self._by_request_id.get(req.forward.request_id) is req:
@@ -122,7 +117,7 @@
         self.costs.count_run(
             req.forward.route,
             service_time_s=now - req.started_at,
-            calls=req.calls,
-            calls_by_route=req.answered_calls,
-            whole=whole,
+            calls=req.ended_calls,
+            calls_to=req.answered_calls,
+            full=full,
         )
--- a/ferrydeck/mesh/inbound/service_counts.py
+++ b/ferrydeck/mesh/inbound/service_counts.py
@@ -1,10 +1,9 @@
-"""Requests and retries of the other targets of a service, as their daemons report them.
+"""Requests and retries of a service's other targets, as reported by their daemons.
 
-Each inbound side reports its counts by step, the newest first, while retries are
-granted (`retry_exchange`). A side that starts anew does not know what was granted on
-its box before; the others keep what its earlier daemon reported.
+While retries are granted, each daemon reports its counts by step (`retry_exchange`).
+After a restart, the other daemons keep the counts that the earlier process reported.
 
-Owns the counts of the other sides; `retry_budget` adds its own.
+Owns the counts of the other daemons; `retry_budget` adds its own.
 """
 
 from __future__ import annotations
@@ -15,58 +14,58 @@
 
 import attrs
 
-FRESH_PERIODS = 2
-"""Periods without a report after which a side is taken to grant nothing."""
+REPORT_TTL_PERIODS = 2
+"""Periods without a report after which a daemon is assumed to grant no retries."""
 
 
 @attrs.define(kw_only=True)
-class Report:
-    """What one side has reported, by this side's steps."""
+class PeerReport:
+    """The reported counts of one daemon, by the steps of the receiver."""
 
     requests: collections.Counter[int] = attrs.Factory(collections.Counter)
     retries: collections.Counter[int] = attrs.Factory(collections.Counter)
     step: int = 0
-    """The step in which the newest report came."""
+    """The step in which the newest report was received."""
 
 
 @attrs.define(kw_only=True)
 class ServiceCounts:
-    """The sum of what the other sides have reported."""
+    """The sum of the reported counts of the other daemons."""
 
     requests: collections.Counter[int] = attrs.Factory(collections.Counter)
     retries: collections.Counter[int] = attrs.Factory(collections.Counter)
-    _reports: dict[str, Report] = attrs.Factory(dict)
-    """The newest counts of each side, by the address of its daemon."""
+    _reports: dict[str, PeerReport] = attrs.Factory(dict)
+    """Reported counts by the address of the daemon."""
 
     def __len__(self) -> int:
-        """Return how many sides have reported."""
+        """Return the number of daemons with reported counts."""
         return len(self._reports)
 
     def received(
         self, step: int, address: str, requests: Sequence[int], retries: Sequence[int]
     ) -> None:
-        """Take the report of a side, which goes back to the step before this one.
+        """Store a report, whose counts begin with the step before this one.
 
-        Where it goes back less far than an earlier report, that one's counts stay.
+        Earlier counts remain for steps that the report does not cover.
         """
-        report = self._reports.setdefault(address, Report())
+        report = self._reports.setdefault(address, PeerReport())
         report.step = step
         _replace(report.requests, self.requests, step, requests)
         _replace(report.retries, self.retries, step, retries)
 
-    def fresh(self, step: int, period: int) -> int:
-        """Return how many sides have reported lately."""
-        oldest = step - FRESH_PERIODS * period
-        return sum(one.step >= oldest for one in self._reports.values())
+    def count_reporting(self, step: int, period: int) -> int:
+        """Return the number of daemons that have reported recently."""
+        oldest = step - REPORT_TTL_PERIODS * period
+        return sum(report.step >= oldest for report in self._reports.values())
 
-    def awaited(self, step: int, period: int) -> int:
-        """Return how many of them have not reported in the present period yet."""
-        oldest = step - FRESH_PERIODS * period
-        begins = step - step % period
-        return sum(oldest <= one.step < begins for one in self._reports.values())
+    def count_missing(self, step: int, period: int) -> int:
+        """Return how many of these have not reported in the current period yet."""
+        oldest = step - REPORT_TTL_PERIODS * period
+        start = step - step % period
+        return sum(oldest <= report.step < start for report in self._reports.values())
 
     def forget(self, until: int) -> None:
-        """Forget steps, and sides of which nothing else is known."""
+        """Remove counts up to a step, and daemons without remaining counts."""
         for address, report in list(self._reports.items()):
             forget(report.requests, until)
             forget(report.retries, until)
@@ -77,25 +76,25 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Sums:
-    """Counts of steps, added up, so that any window is one difference."""
+class PrefixSums:
+    """Cumulative counts, from which the sum of any window is one difference."""
 
     since: int
-    added: list[int]
-    """What was counted after step `since`, up to each later one."""
+    sums: list[int]
+    """Sums of the counts after step `since`, up to each later step."""
 
     def between(self, after: int, until: int) -> int:
-        """Return what was counted after one step, up to another one."""
-        last = len(self.added) - 1
+        """Return the sum of the counts after one step, up to another one."""
+        last = len(self.sums) - 1
         first = min(max(after - self.since, 0), last)
-        return self.added[min(max(until - self.since, 0), last)] - self.added[first]
+        return self.sums[min(max(until - self.since, 0), last)] - self.sums[first]
 
 
-def sums(since: int, until: int, *counts: Mapping[int, int]) -> Sums:
-    """Return the sums of some counts, after one step and up to another."""
+def prefix_sums(since: int, until: int, *counts: Mapping[int, int]) -> PrefixSums:
+    """Return the cumulative counts after one step, up to another one."""
     steps = range(since + 1, until + 1)
-    each = (sum(one.get(step, 0) for one in counts) for step in steps)
-    return Sums(since=since, added=[0, *itertools.accumulate(each)])
+    totals = (sum(count.get(step, 0) for count in counts) for step in steps)
+    return PrefixSums(since=since, sums=[0, *itertools.accumulate(totals)])
 
 
 def _replace(
@@ -110,6 +109,6 @@
 
 
 def forget(counts: collections.Counter[int], until: int) -> None:
-    """Forget what was counted up to a step."""
-    for step in [one for one in counts if one <= until]:
+    """Remove the counts up to a step."""
+    for step in [step for step in counts if step <= until]:
         del counts[step]
--- a/ferrydeck/mesh/inbound/target_watch.py
+++ b/ferrydeck/mesh/inbound/target_watch.py
@@ -1,8 +1,8 @@
-"""Follows the target of this box: its incarnation, and whether it takes work.
+"""Tracks the local target: its incarnation, and whether it accepts requests.
 
-Owns the target's phase, incarnation and slots as this box knows them, and the set of
-incarnations that have left. Relies on the target's heartbeats and health checks, and on
-other daemons to report which incarnations left while this daemon was not running.
+Owns the known phase, incarnation and slots of the target, and the set of incarnations
+that have left. Relies on the target's heartbeats and health checks, and on other
+daemons to report which incarnations left while this daemon was not running.
 """
 
 from __future__ import annotations
@@ -14,94 +14,93 @@
 
 from ferrydeck.mesh import context, effects, events, incarnations, messages, policy
 
-PROBE_RETRY_S = 0.5
-"""Pause after a failed health check, seconds."""
-PEER_REPORT_S = 0.5
-"""How long a daemon that starts waits for another daemon's report of the incarnations
-that have left, seconds: the first link stands after some milliseconds."""
+PROBE_RETRY_INTERVAL_S = 0.5
+"""Delay until a failed health check is repeated, seconds."""
+PEER_REPORT_TIMEOUT_S = 0.5
+"""Time for which a starting daemon waits for another daemon's report of the
+incarnations that have left, seconds."""
 MIN_HEARTBEATS = 2
-"""Heartbeats that open a target without a health check, since the check may be wrong
-either way: a single one may have been sent before the target said that it leaves."""
-LATE_S = 10.0
-"""How late a heartbeat may come, seconds: the users state that it may be seconds."""
+"""Heartbeats that open a target without a successful health check. A single one may
+have been sent before the target announced that it leaves."""
+MAX_DELAY_S = 10.0
+"""Longest delay of a heartbeat, seconds."""
 MAX_INCARNATIONS = 64
-"""Incarnations whose late heartbeats are recognized, at most. A heartbeat may be
-seconds late and a target takes a second to start, so few matter at once."""
+"""Maximum number of incarnations whose late heartbeats are recognized."""
 
 
 class HeartbeatResult(enum.Enum):
-    """What a heartbeat changed; its sender is acknowledged in each case."""
+    """The effect of a heartbeat, which is acknowledged in every case."""
 
     STALE = "stale"
-    """It is older than one that came before, or than the target's newest start."""
+    """It is older than an earlier heartbeat or than the newest start of the target."""
     LEAVING = "leaving"
-    """The incarnation takes no more work."""
+    """The incarnation accepts no more requests."""
     HAS_LEFT = "has left"
-    """It is of an incarnation that has left, or may be."""
+    """Its incarnation has left, or may have left."""
     OTHER_TARGET = "other target"
-    """It is a late one of a target that another one has replaced."""
+    """It is a late heartbeat of a target that has been replaced."""
     UNCONFIRMED = "unconfirmed"
-    """It may be older than a leaving; the next one or a health check will show."""
+    """It may have been sent before the target left; another heartbeat is needed."""
     READY = "ready"
-    """The target takes work."""
+    """The target accepts requests."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ProbeTimer:
-    """Time to send a health check."""
+    """Send a health check."""
 
 
 @attrs.define(kw_only=True)
 class TargetWatch:
-    """Follows a target by its heartbeats, health checks and answers.
+    """Tracks a target by its heartbeats, health checks and answers.
 
-    An incarnation that has said that it leaves is never opened again. A daemon that
-    starts does not know what an earlier process acknowledged, so it opens only after
-    the target's own health check, or after several heartbeats.
+    An incarnation that has announced that it leaves is never opened again. A starting
+    daemon does not know what its predecessor acknowledged, so it opens the target only
+    after a successful health check or after several heartbeats.
     """
 
     ctx: context.Context
-    opened: Callable[[float], None]
-    """Called when new work may be sent to the target."""
-    closed: Callable[[float, messages.Reason], None]
-    """Called when no new work may be sent, with the reason."""
+    on_open: Callable[[float], None]
+    """Called when the target starts to accept requests."""
+    on_close: Callable[[float, messages.Reason], None]
+    """Called when the target stops accepting requests, with the reason."""
     phase: messages.Phase = messages.Phase.UNKNOWN
     incarnation: str = ""
     slots: int = 0
     cold_until: float = 0.0
     ready_at: float = 0.0
-    """When the target last said that it is ready; 0 if never."""
+    """Time of the last report that the target is ready; 0 if none."""
     left: set[str] = attrs.Factory(set)
-    """Incarnations of the target that have said that they leave."""
+    """Incarnations of the target that have announced that they leave."""
     _sequences: dict[str, int] = attrs.Factory(dict)
-    """The highest sequence number of each incarnation's heartbeats."""
-    _left_unborn: dict[str, float] = attrs.Factory(dict)
-    """When incarnations left whose birth was not known, by id."""
+    """Highest sequence number of the heartbeats, by incarnation."""
+    _left_at: dict[str, float] = attrs.Factory(dict)
+    """Leaving time of incarnations with unknown birth time, by target id."""
     _newest: dict[str, int] = attrs.Factory(dict)
-    """When the newest incarnation of each id was born, milliseconds since 1970."""
+    """Birth time of the newest incarnation of each id, Unix time in milliseconds."""
     _ready_heartbeats: int = 0
-    """Heartbeats in a row of one incarnation that is ready but not open."""
+    """Consecutive heartbeats of a ready incarnation that is not open yet."""
     _ready_incarnation: str = ""
     _probing: bool = False
     _peer_reported: bool = False
-    """Whether another daemon has reported which incarnations have left."""
-    _peer_report_until: float = 0.0
+    """Whether another daemon has reported the incarnations that have left."""
+    _peer_report_deadline: float = 0.0
 
     def start(self, now: float) -> None:
-        """Begin to wait for another daemon's report."""
-        self._peer_report_until = now + PEER_REPORT_S
-        self.ctx.at(self._peer_report_until, ProbeTimer())
+        """Start to wait for the report of another daemon."""
+        self._peer_report_deadline = now + PEER_REPORT_TIMEOUT_S
+        self.ctx.at(self._peer_report_deadline, ProbeTimer())
 
     def probe(self, now: float) -> None:
         """Send a health check to a target that is not open."""
         if self.phase is messages.Phase.READY:
             return
-        if not self._peer_reported and now < self._peer_report_until:
+        if not self._peer_reported and now < self._peer_report_deadline:
             return
         self.check(now)
 
     def check(self, now: float) -> None:
-        """Send a health check, unless one is on its way."""
+        """Send a health check, unless one is pending."""
         service = self._service()
         if service is None or self._probing:
             return
@@ -109,7 +108,7 @@
         self.ctx.emit(effects.Probe(path=service.health_path))
 
     def probe_answered(self, now: float, event: events.ProbeAnswered) -> None:
-        """Open a target that is well, not leaving, and whose incarnation is known."""
+        """Open a target that is healthy, not leaving, and has stated its id."""
         self._probing = False
         if (
             not event.well
@@ -117,7 +116,7 @@
             or self._may_have_left(event.target_id)
         ):
             if self.phase is messages.Phase.UNKNOWN:
-                self.ctx.at(now + PROBE_RETRY_S, ProbeTimer())
+                self.ctx.at(now + PROBE_RETRY_INTERVAL_S, ProbeTimer())
             return
         self.slots = event.slots or self.slots
         same = event.target_id == incarnations.id_of(self.incarnation)
@@ -127,10 +126,10 @@
         self._open(now, incarnations.name(event.target_id, newest), "probe")
 
     def heartbeat(self, now: float, heartbeat: events.Heartbeat) -> HeartbeatResult:
-        """Act on a heartbeat of the target; return what it changed."""
+        """Process a heartbeat of the target and return its effect."""
         newest = self._newest.get(heartbeat.target_id, incarnations.UNKNOWN)
         if heartbeat.gone and not heartbeat.born:
-            # The heartbeat of a stop may have no body: the newest incarnation is meant.
+            # A deregistration may have no body; it refers to the newest incarnation.
             heartbeat = attrs.evolve(heartbeat, born=newest)
         incarnation = heartbeat.incarnation
         last = self._sequences.get(incarnation, -1)
@@ -147,33 +146,33 @@
         return self._ready(now, heartbeat)
 
     def receive_peer_report(self, now: float, left: list[str]) -> None:
-        """Act on another daemon's report of the incarnations that have left."""
+        """Process another daemon's report of the incarnations that have left."""
         for incarnation in left:
             if incarnation not in self.left:
-                self._leave(now, incarnation, "told by a peer")
+                self._leave(now, incarnation, "reported by a peer")
         if not self._peer_reported:
             self._peer_reported = True
             self.probe(now)
 
     def mark_replaced(self, now: float, target_id: str) -> None:
-        """Close until the incarnation that answers now sends heartbeats or is well."""
+        """Close until the new incarnation sends heartbeats or passes a health check."""
         self.ctx.note("server-changed", instance=target_id, expected=self.incarnation)
         self.phase = messages.Phase.UNKNOWN
         self.incarnation = ""
         self._ready_heartbeats = 0
-        self.closed(now, messages.Reason.WRONG_INCARNATION)
+        self.on_close(now, messages.Reason.WRONG_INCARNATION)
         self.probe(now)
 
     def mark_down(self, now: float, detail: str) -> None:
-        """Close for a target that takes no connection, until its next heartbeat."""
+        """Close a target that refuses connections, until its next heartbeat."""
         if self.phase is not messages.Phase.READY:
             return
         self.ctx.note("server-lost", instance=self.incarnation, reason=detail)
         self.phase = messages.Phase.DOWN
-        self.closed(now, messages.Reason.CLOSED)
+        self.on_close(now, messages.Reason.CLOSED)
 
     def _ready(self, now: float, heartbeat: events.Heartbeat) -> HeartbeatResult:
-        """Open the target for a heartbeat that says it is ready, if that is sure."""
+        """Process a heartbeat of a ready target; open the target if it is confirmed."""
         incarnation = heartbeat.incarnation
         self.ready_at = now
         self.slots = heartbeat.slots or self.slots
@@ -181,46 +180,45 @@
         if self.phase is messages.Phase.READY and self.incarnation == incarnation:
             return HeartbeatResult.READY
         if self.phase is messages.Phase.UNKNOWN and not self._confirmed(incarnation):
-            # It may be older than a leaving that an earlier process of this daemon
-            # acknowledged.
+            # An earlier process of this daemon may have acknowledged that it leaves.
             self.probe(now)
             return HeartbeatResult.UNCONFIRMED
         self._open(now, incarnation, "report")
         return HeartbeatResult.READY
 
     def _confirmed(self, incarnation: str) -> bool:
-        """Count a heartbeat; return whether there are enough without a health check."""
+        """Count a heartbeat; return whether it opens without a health check."""
         same = incarnation == self._ready_incarnation
         self._ready_heartbeats = self._ready_heartbeats + 1 if same else 1
         self._ready_incarnation = incarnation
         return self._ready_heartbeats >= MIN_HEARTBEATS
 
     def _is_replaced(self, target_id: str) -> bool:
-        """Return whether the box is open for a target of another id."""
+        """Return whether a target with another id is open."""
         if not self.incarnation or self.phase is not messages.Phase.READY:
             return False
         return target_id != incarnations.id_of(self.incarnation)
 
     def _may_have_left(self, target_id: str) -> bool:
-        """Return whether a health check may be that of an incarnation that leaves.
+        """Return whether a health check may be answered by a leaving incarnation.
 
-        A target states its id there and not when it was born: where an incarnation of
-        this id has left, only a heartbeat shows that the one that answers is another.
+        The answer contains the target id and no birth time. If an incarnation of this
+        id has left, only a heartbeat identifies the new one.
         """
         born = self._newest.get(target_id, incarnations.UNKNOWN)
         if born and incarnations.name(target_id, born) not in self.left:
             return False
-        return any(incarnations.id_of(one) == target_id for one in self.left)
+        return any(incarnations.id_of(name) == target_id for name in self.left)
 
     def _may_be_late(self, now: float, target_id: str) -> bool:
-        """Return whether a heartbeat may be of one that left with no birth known.
+        """Return whether an incarnation that left without birth time may have sent it.
 
-        After some seconds it is of a new incarnation of the same id.
+        After `MAX_DELAY_S` it belongs to a new incarnation of the same id.
         """
-        return now - self._left_unborn.get(target_id, float("-inf")) < LATE_S
+        return now - self._left_at.get(target_id, float("-inf")) < MAX_DELAY_S
 
     def _remember(self, incarnation: str, sequence: int) -> None:
-        """Remember an incarnation's newest heartbeat, and forget the oldest ones."""
+        """Store the sequence number of a heartbeat, and drop the oldest incarnation."""
         target_id = incarnations.id_of(incarnation)
         newest = self._newest.get(target_id, incarnations.UNKNOWN)
         self._newest[target_id] = max(newest, incarnations.born(incarnation))
@@ -235,34 +233,34 @@
         if self._newest.get(target_id) == incarnations.born(incarnation):
             del self._newest[target_id]
 
-    def _open(self, now: float, incarnation: str, why: str) -> None:
-        """Take work for an incarnation of the target."""
+    def _open(self, now: float, incarnation: str, reason: str) -> None:
+        """Accept requests for an incarnation of the target."""
         self.phase = messages.Phase.READY
         self.incarnation = incarnation
         self.ready_at = now
         self.ctx.note(
-            "server-ready", instance=incarnation, reason=why, slots=self.slots
+            "server-ready", instance=incarnation, reason=reason, slots=self.slots
         )
-        self.opened(now)
+        self.on_open(now)
 
-    def _leave(self, now: float, incarnation: str, why: str) -> None:
-        """Close for an incarnation of the target that leaves, for good."""
+    def _leave(self, now: float, incarnation: str, reason: str) -> None:
+        """Close the target permanently for an incarnation that leaves."""
         if incarnation in self.left:
             return
         self.left.add(incarnation)
         if not incarnations.born(incarnation):
-            self._left_unborn[incarnation] = now
-        self.ctx.note("server-leaving", instance=incarnation, reason=why)
+            self._left_at[incarnation] = now
+        self.ctx.note("server-leaving", instance=incarnation, reason=reason)
         if not self.incarnation or self._is_current(incarnation):
             self.incarnation = incarnation
             self.phase = messages.Phase.LEAVING
-            self.closed(now, messages.Reason.CLOSED)
+            self.on_close(now, messages.Reason.CLOSED)
 
     def _is_current(self, incarnation: str) -> bool:
-        """Return whether an incarnation is the one that is open.
+        """Return whether an incarnation is the current one.
 
-        After a health check the id alone is known, until a heartbeat states when the
-        target was born.
+        After a health check only the id is known, until a heartbeat states the birth
+        time.
         """
         target_id = incarnations.id_of(incarnation)
         return self.incarnation in (incarnation, target_id)
@@ -274,5 +272,5 @@
 
 
 def _is_repeated(heartbeat: events.Heartbeat, last: int) -> bool:
-    """Return whether a newer heartbeat came before; a stop is never too old."""
+    """Return whether a heartbeat is a duplicate or late; a deregistration never is."""
     return heartbeat.sequence <= last and not heartbeat.gone
--- a/ferrydeck/mesh/outbound/attempts.py
+++ b/ferrydeck/mesh/outbound/attempts.py
@@ -110,7 +110,7 @@
             objective_s=req.objective_at - now,
             route=req.route.name,
             priority=req.priority,
-            begins=req.parent is not None and not req.parent.calls,
+            begins=req.parent is not None and not req.parent.ended_calls,
             lowest=req.sheddable,
             retryable=req.route.retryable,
             came_back=req.caller_retry,
--- a/ferrydeck/mesh/switches.py
+++ b/ferrydeck/mesh/switches.py
@@ -15,7 +15,7 @@
     price_slots: bool = True
     """Shed requests by the price of what their calls use (`pricing`)."""
     turn_away_failing: bool = True
-    """Shed a share of a route whose runs fail behind the target (`shedding`)."""
+    """Shed a share of a route whose runs fail behind the target (`route_shedding`)."""
     pass_rank_on: bool = True
     """Give calls the priority of the run that makes them (`correlation`)."""
     weigh_slot_time: bool = True
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -18,7 +18,7 @@
         self.asked = 0
         self.costs = self
 
-    def sheds(self, now: float, forward: messages.Forward) -> bool:
+    def should_shed(self, now: float, forward: messages.Forward) -> bool:
         self.asked += 1
         return forward.route != "kept"
 
@@ -92,20 +92,20 @@
 @pytest.mark.parametrize(
     ("wait_s", "waiting", "place"),
     [
-        (0.5, 40, request_queue.Place.WAITS),
-        (0.5, 41, request_queue.Place.DISPLACES),
-        (1.5, 41, request_queue.Place.DROPPED),
+        (0.5, 40, request_queue.Decision.WAITS),
+        (0.5, 41, request_queue.Decision.DISPLACES),
+        (1.5, 41, request_queue.Decision.DROPPED),
     ],
 )
 def test_who_waits_and_who_is_dropped(wait_s, waiting, place):
     inputs = request_queue.Inputs(
-        wait_s=wait_s, patience_s=1.0, waiting=waiting, limit=10
+        wait_s=wait_s, max_wait_s=1.0, waiting=waiting, limit=10
     )
-    assert request_queue.place(inputs) is place
+    assert request_queue.decide(inputs) is place
 
 
 def test_a_shed_caller_comes_back_while_an_answer_is_still_on_time():
-    def after(draw: float, reason: Reason = Reason.SHED) -> float:
+    def after(random_value: float, reason: Reason = Reason.SHED) -> float:
         return retry_after.decide(
             retry_after.Inputs(
                 reason=reason,
@@ -113,10 +113,10 @@
                 objective_s=1.5,
                 waiting_s=1.85,
                 limit=10,
-                draw=draw,
+                random_value=random_value,
             )
         )
 
-    assert after(1.0) == pytest.approx(1.5 - 0.15 - retry_after.RETURN_MARGIN_S)
+    assert after(1.0) == pytest.approx(1.5 - 0.15 - retry_after.RETRY_MARGIN_S)
     assert after(0.0) < after(0.5) < after(1.0)
     assert after(0.5, Reason.OVERLOAD) == pytest.approx(0.2)
--- a/tests/mesh/test_correlation.py
+++ b/tests/mesh/test_correlation.py
@@ -11,7 +11,7 @@
     deadline: float
     call_priority: int = 1
     expected_calls: float = 4.0
-    calls: int = 0
+    ended_calls: int = 0
     open_calls: int = 0
     resumed_at: float = 0.0
 
@@ -58,10 +58,16 @@
 def test_a_bounded_call_belongs_to_the_run_whose_call_was_just_answered():
     runs = [
         Run(name="first", deadline=7.0, resumed_at=5.0),
-        Run(name="waits", deadline=7.1, calls=1, resumed_at=4.9),
-        Run(name="goes-on", deadline=7.3, calls=2, resumed_at=4.9995),
-        Run(name="has-made-all", deadline=7.3, calls=4, resumed_at=4.9998),
-        Run(name="is-calling", deadline=7.2, calls=1, open_calls=1, resumed_at=4.9999),
+        Run(name="waits", deadline=7.1, ended_calls=1, resumed_at=4.9),
+        Run(name="goes-on", deadline=7.3, ended_calls=2, resumed_at=4.9995),
+        Run(name="has-made-all", deadline=7.3, ended_calls=4, resumed_at=4.9998),
+        Run(
+            name="is-calling",
+            deadline=7.2,
+            ended_calls=1,
+            open_calls=1,
+            resumed_at=4.9999,
+        ),
     ]
     assert bounded().find_parent(5.0, "call", 0.7, runs).run.name == "goes-on"
 
@@ -69,7 +75,7 @@
 def test_a_first_bounded_call_belongs_to_a_new_run_of_a_route_that_makes_calls():
     runs = [
         Run(name="calls-none", deadline=6.0, expected_calls=0.0),
-        Run(name="has-called", deadline=6.1, calls=1),
+        Run(name="has-called", deadline=6.1, ended_calls=1),
         Run(name="new", deadline=6.5, resumed_at=4.9),
         Run(name="newer", deadline=6.4, resumed_at=4.95, call_priority=0),
     ]
@@ -91,6 +97,6 @@
     for number in range(300):
         callers.count("call", "desk")
         callers.count("look", ("desk", "book", "plan", "take")[number % 4])
-    assert callers.by_targets("call")
-    assert not callers.by_targets("look")
-    assert not callers.by_targets("never seen")
+    assert callers.called_by_targets("call")
+    assert not callers.called_by_targets("look")
+    assert not callers.called_by_targets("never seen")
--- a/tests/mesh/test_pricing.py
+++ b/tests/mesh/test_pricing.py
@@ -85,11 +85,7 @@
     for _ in range(200):
         for name, service_time_s in holds.items():
             costs.count_run(
-                name,
-                service_time_s=service_time_s,
-                calls=0,
-                calls_by_route={},
-                whole=True,
+                name, service_time_s=service_time_s, calls=0, calls_to={}, full=True
             )
     return costs
 
@@ -105,7 +101,7 @@
     costs.set_demand("call", [("deep", 50), ("plan", 100)])
     for _ in range(20):
         costs.count_run(
-            "look", service_time_s=0.1, calls=4, calls_by_route={"call": 4}, whole=True
+            "look", service_time_s=0.1, calls=4, calls_to={"call": 4}, full=True
         )
     assert costs.makes_calls("look")
     assert costs.demand("desk", "look") == {"desk": 1.0, "deep": 2.0, "plan": 4.0}
@@ -115,7 +111,7 @@
     # A gate that lets in four runs a second can't wait for twenty of them.
     costs = pricing.Costs(initial_service_time_s=0.1)
     costs.count_run(
-        "look", service_time_s=0.1, calls=4, calls_by_route={"call": 4}, whole=True
+        "look", service_time_s=0.1, calls=4, calls_to={"call": 4}, full=True
     )
     costs.set_demand("call", [("plan", 100)])
     costs.set_demand("call", [("plan", 100), ("deep", 400)])
@@ -127,28 +123,24 @@
     costs.set_demand("look", [("deep", 400)], sheddable=True)
     costs.set_demand("entry", [("deep", 300)], sheddable=True)
     costs.set_demand("post", [("deep", 800)])
-    assert costs.weight("deep", "look", 4.0) == 1.0
-    assert costs.weight("deep", "entry", 3.0) == 0.75
-    assert costs.weight("deep", "never-heard-of", 1.0) == 0.25
-    assert costs.weight("plan", "look", 0.0) == 0.0
+    assert costs.relative_demand("deep", "look", 4.0) == 1.0
+    assert costs.relative_demand("deep", "entry", 3.0) == 0.75
+    assert costs.relative_demand("deep", "never-heard-of", 1.0) == 0.25
+    assert costs.relative_demand("plan", "look", 0.0) == 0.0
 
 
 def test_a_run_that_failed_tells_nothing_of_how_many_calls_there_are():
     costs = pricing.Costs(initial_service_time_s=0.1)
     for _ in range(50):
         costs.count_run(
-            "look", service_time_s=0.1, calls=4, calls_by_route={"call": 4}, whole=True
+            "look", service_time_s=0.1, calls=4, calls_to={"call": 4}, full=True
         )
     for _ in range(500):
         costs.count_run(
-            "look",
-            service_time_s=0.01,
-            calls=1,
-            calls_by_route={"call": 1},
-            whole=False,
+            "look", service_time_s=0.01, calls=1, calls_to={"call": 1}, full=False
         )
     assert costs.route("look").calls == 4
-    assert costs.route("look").calls_by_route == {"call": 4}
+    assert costs.route("look").calls_to == {"call": 4}
 
 
 def test_a_route_without_known_runs_makes_no_calls():
--- a/tests/mesh/test_retry_budget.py
+++ b/tests/mesh/test_retry_budget.py
@@ -26,7 +26,7 @@
         if step % 2000 < 700:
             repeats.count_request(now, 1)
             firsts.append(now)
-        if repeats.grant_shed_retry(now, 1):
+        if repeats.grant_retry(now, 1):
             granted.append(now)
     for end in range(10, 61):
         spent = sum(end - WINDOW_S < one <= end for one in granted)
@@ -40,10 +40,10 @@
     repeats = made()
     ask(repeats, 0.0, 10.0, 100)
     granted = sum(
-        repeats.grant_shed_retry(10.5 + number * 0.005, 0) for number in range(1000)
+        repeats.grant_retry(10.5 + number * 0.005, 0) for number in range(1000)
     )
     # Windows that end 7.5 s later have three quarters of the requests at best.
-    bound = RATIO * retry_budget.SHARE * 750 + SLACK * retry_budget.SLACK_SHARE
+    bound = RATIO * retry_budget.RATIO_SHARE * 750 + SLACK * retry_budget.SLACK_SHARE
     assert 0.95 * bound < granted <= bound
 
 
@@ -53,7 +53,7 @@
     for number in range(100):
         repeats.count_retry(10.0 + number * 0.001)
     granted = sum(
-        repeats.grant_shed_retry(10.5 + number * 0.005, 0) for number in range(1000)
+        repeats.grant_retry(10.5 + number * 0.005, 0) for number in range(1000)
     )
     assert granted < RATIO * 1000 - 100
 
@@ -68,8 +68,8 @@
         now = 10.5 + number * 0.005
         for _ in range(4):
             repeats.count_dispatch(now)
-        first += repeats.grant_shed_retry(now, 0, first_call=True)
-        later += repeats.grant_shed_retry(now, 0)
+        first += repeats.grant_retry(now, 0, first=True)
+        later += repeats.grant_retry(now, 0)
     assert later > 100
     assert first < 10
 
@@ -82,14 +82,14 @@
         now = 10.5 + number * 0.005
         for _ in range(50):
             repeats.count_dispatch(now)
-        granted += repeats.grant_shed_retry(now, 0, first_call=True)
+        granted += repeats.grant_retry(now, 0, first=True)
     assert granted == 20
 
 
 def shed_half(repeats: retry_budget.RetryBudget, now: float, priority: int) -> bool:
     repeats.count_dispatch(now)
     repeats.count_dispatch(now)
-    return repeats.grant_shed_retry(now, priority)
+    return repeats.grant_retry(now, priority)
 
 
 def test_urgent_requests_get_offers_before_the_others():
@@ -109,15 +109,15 @@
     ask(repeats, 0.0, 10.0, 100)
     for number in range(100):
         repeats.count_dispatch(10.5 + number * 0.001)
-    assert repeats.grant_shed_retry(10.6, 0)
-    assert repeats.grant_shed_retry(10.6, 1)
+    assert repeats.grant_retry(10.6, 0)
+    assert repeats.grant_retry(10.6, 1)
 
 
 def test_gates_share_the_slack_also_when_some_are_not_seen_any_more():
     repeats = made()
     repeats.observe_target_count(4)
     repeats.observe_target_count(2)
-    granted = sum(repeats.grant_shed_retry(0.6, 0) for _ in range(100))
+    granted = sum(repeats.grant_retry(0.6, 0) for _ in range(100))
     assert granted == int(SLACK * retry_budget.SLACK_SHARE / 4)
 
 
@@ -130,7 +130,7 @@
             inbound.count_request(now, 1)
             requests += 1
             granted += inbound.grant_rerun(now, makes_calls=False)
-            granted += inbound.grant_shed_retry(now, 1)
+            granted += inbound.grant_retry(now, 1)
     assert 0 < granted <= RATIO * requests + SLACK
 
 
--- a/tests/mesh/test_retry_exchange.py
+++ b/tests/mesh/test_retry_exchange.py
@@ -34,7 +34,7 @@
     }
     assert all(granted.values())
     for name, box in world.boxes.items():
-        others = box.core.inbound.retry_budget.others
+        others = box.core.inbound.retry_budget.peer_counts
         assert len(others) == 3
         assert sum(others.retries.values()) == sum(granted.values()) - granted[name]
 
--- a/tests/mesh/test_retry_parts.py
+++ b/tests/mesh/test_retry_parts.py
@@ -21,11 +21,9 @@
         self.requests: list[float] = []
         self.retries: list[float] = []
 
-    def side(
-        self, started_at: float, targets: int = TARGETS
-    ) -> retry_budget.RetryBudget:
+    def side(self, started: float, targets: int = TARGETS) -> retry_budget.RetryBudget:
         made = retry_budget.RetryBudget(
-            ratio=RATIO, slack=SLACK, window_s=WINDOW_S, started_at=started_at
+            ratio=RATIO, slack=SLACK, window_s=WINDOW_S, started_at=started
         )
         if targets:
             made.observe_target_count(targets)
@@ -121,7 +119,7 @@
         for index in range(TARGETS):
             service.retry(now, index)
     assert service.over() <= 0.0
-    assert len(service.retries) > 0.8 * RATIO * retry_budget.SHARE * 4000
+    assert len(service.retries) > 0.8 * RATIO * retry_budget.RATIO_SHARE * 4000
 
 
 # Guards against any other way in which parts that hold add up to more than the bound.
