--- a/ferrydeck/mesh/outbound/request_builder.py
+++ b/ferrydeck/mesh/outbound/request_builder.py
@@ -115,7 +115,9 @@
         """
         if parent is not None:
             expected_calls = self.inbound.costs.route(parent.forward.route).calls
-            share_s = (parent.deadline - now) / max(1.0, expected_calls - parent.ended_calls)
+            share_s = (parent.deadline - now) / max(
+                1.0, expected_calls - parent.ended_calls
+            )
             return min(timeout_s, share_s)
         objective_left_s = route.objective_s - waited_s
         if high_priority or objective_left_s <= 0:
--- a/ferrydeck/signed/core/leases.py
+++ b/ferrydeck/signed/core/leases.py
@@ -125,7 +125,7 @@
     def handle_result(
         self, now: float, request: platform.Request, result: platform.Result
     ) -> bool:
-        """Handle the result of a request for the key; return whether the lease ended."""
+        """Handle a result for the key; return whether the lease ended."""
         self._request_pending = False
         match result:
             case platform.Written(version=version):
