--- a/tests/mesh/teams/schedules.py
+++ b/tests/mesh/teams/schedules.py
@@ -187,7 +187,7 @@
         self.world.store.refuses = lambda box: False
 
 
-def run_schedule(seed: int, *, seconds: float = 24.0, faults: bool = True) -> Schedule:
+def run(seed: int, *, seconds: float = 24.0, faults: bool = True) -> Schedule:
     """Run the schedule of a seed."""
     rng = random.Random(seed)
     world = fleets.world_of(boxes=BOXES, data_centres=HALLS, seed=seed, settle_s=0.01)
@@ -223,9 +223,9 @@
     return violations
 
 
-def key_violations_of_seed(seed: int) -> list[str]:
+def violations_of_seed(seed: int) -> list[str]:
     """Run the schedule of a seed and return its violations."""
-    return key_violations(run_schedule(seed))
+    return key_violations(run(seed))
 
 
 def peak_usage(schedule: Schedule) -> dict[str, float]:
@@ -266,7 +266,7 @@
     """Run a range of seeds, print violations, and return the number of failed seeds."""
     failed = 0
     for seed in range(first, last + 1):
-        schedule = run_schedule(seed)
+        schedule = run(seed)
         violations = key_violations(schedule)
         usage = max(peak_usage(schedule).values())
         if violations or usage > 1.0:
--- a/tests/mesh/teams/test_access.py
+++ b/tests/mesh/teams/test_access.py
@@ -1,4 +1,4 @@
-"""Who is let in by a key, and what a caller without one that counts is told."""
+"""Authorization by API key, and the rejection of requests without a valid one."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
         (KEY, "/nowhere/1", 404, []),
     ],
 )
-def test_a_key_tells_whose_a_request_is(key, path, status, teams):
+def test_key_identifies_team(key, path, status, teams):
     world = fleets.world_of(fleets.team_keys())
-    asked = fleets.ask(world, "box-0", key, path)
+    request = fleets.ask(world, "box-0", key, path)
     world.run(0.5)
-    assert asked.answer.status == status
+    assert request.answer.status == status
     assert teams_of_runs(world) == teams
 
 
-def test_without_teams_nothing_is_asked_for():
+def test_policy_without_teams_needs_no_key():
     world = samples.world_of(3)
-    asked = samples.ask(world, "box-0", key="whatever")
+    request = samples.ask(world, "box-0", key="whatever")
     world.run(0.5)
-    assert asked.answer.status == 200
+    assert request.answer.status == 200
 
 
-def test_a_key_may_pass_from_one_team_to_another():
+def test_key_moves_to_another_team():
     world = fleets.world_of(fleets.team_keys(), fleets.team_keys("mill"))
     world.store.use(
         fleets.policy_of(
@@ -60,7 +60,7 @@
     assert teams_of_runs(world) == ["mill"]
 
 
-def test_a_daemon_that_cannot_know_whether_a_key_counts_says_come_back():
+def test_stale_policy_rejects_keys_as_retryable():
     world = fleets.world_of(fleets.team_keys(), boxes=1)
     world.store.up = False
     world.run(6.0)
@@ -69,27 +69,27 @@
     unknown = fleets.ask(world, "box-0", "never-held")
     public = fleets.ask(world, "box-0", "", "/open/1")
     world.run(0.5)
-    # Neither is told that its key is unknown: it may be one of a newer policy.
+    # Keys that are unknown here may be in a newer policy, so the status is not 401.
     assert samples.statuses([known, unknown, public]) == [503, 503, 200]
     assert known.answer.retry_after_s > 0
     assert not box.core.ready(world.clock(box))
 
 
-def test_no_line_of_the_log_shows_a_key():
+def test_log_does_not_contain_keys():
     world = fleets.world_of(fleets.team_keys(rate=1.0))
     for _ in range(40):
         for key in (KEY, "never-held"):
             fleets.ask(world, "box-0", key)
         world.run(0.1)
-    told = {one.reason for _, _, one in world.decisions if one.kind == "request"}
-    assert {"allotment", "unknown-key"} <= told
-    written = " ".join(repr(one) for _, _, one in world.decisions)
-    assert KEY not in written
-    assert "never-held" not in written
+    reasons = {one.reason for _, _, one in world.decisions if one.kind == "request"}
+    assert {"allotment", "unknown-key"} <= reasons
+    log = " ".join(repr(one) for _, _, one in world.decisions)
+    assert KEY not in log
+    assert "never-held" not in log
 
 
-def test_no_dump_of_what_a_daemon_holds_shows_a_key():
+def test_repr_of_policy_does_not_contain_keys():
     world = fleets.world_of(fleets.team_keys())
-    held = world.boxes["box-0"].core.ctx.policy
-    assert KEY not in repr(held)
-    assert KEY not in repr(held.keyring)
+    current = world.boxes["box-0"].core.ctx.policy
+    assert KEY not in repr(current)
+    assert KEY not in repr(current.keyring)
--- a/tests/mesh/teams/test_policy_freshness.py
+++ b/tests/mesh/teams/test_policy_freshness.py
@@ -1,4 +1,4 @@
-"""How old proofs are, what they cost, and what stands still without one."""
+"""Age and cost of policy confirmations, and the rejection of requests without one."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ]
 
 
-def test_a_proof_of_a_newer_policy_waits_for_that_policy():
+def test_confirmation_of_newer_policy_waits_for_that_policy():
     freshness = policy_freshness.PolicyFreshness(ttl_s=5.0)
     freshness.add_confirmation(4, 5, 10.0)
     assert not freshness.is_fresh(10.5)
@@ -28,13 +28,13 @@
     assert not freshness.is_fresh(14.9)
 
 
-def test_a_proof_of_an_older_policy_counts_for_a_newer_one():
+def test_confirmation_of_older_policy_applies_to_newer_one():
     freshness = policy_freshness.PolicyFreshness(ttl_s=5.0)
     freshness.add_confirmation(7, 4, 10.0)
     assert freshness.is_fresh(14.0)
 
 
-def test_one_daemon_of_a_data_centre_asks_and_all_have_a_young_proof():
+def test_one_daemon_per_data_centre_confirms_for_all():
     world = fleets.world_of(fleets.team_keys(), boxes=12, data_centres=3, settle_s=10.0)
     world.store.calls.clear()
     oldest = 0.0
@@ -42,14 +42,14 @@
         world.run(0.1)
         oldest = max(oldest, *confirmation_ages(world))
     assert oldest < 2.0
-    # Twelve daemons that ask for themselves would make 120 calls in ten seconds.
+    # Without sharing, twelve daemons would make 120 calls in ten seconds.
     assert world.store.calls["ProvePolicy"] <= 3 * 12
 
 
-def test_daemons_that_the_store_turns_away_hear_of_proofs_from_others():
+def test_daemons_rejected_by_store_get_confirmations_from_others():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=5.0)
-    away = {"box-0", "box-1", "box-2"}
-    world.store.refuses = lambda box: box.name in away
+    rejected = {"box-0", "box-1", "box-2"}
+    world.store.refuses = lambda box: box.name in rejected
     oldest = 0.0
     for _ in range(90):
         world.run(0.1)
@@ -57,30 +57,30 @@
     assert oldest < 2.5
 
 
-def test_a_revocation_is_in_force_at_daemons_that_the_store_turns_away():
+def test_revocation_reaches_daemons_rejected_by_store():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=5.0)
     world.store.refuses = lambda box: box.name == "box-0"
     world.run(3.0)
     world.store.use(fleets.policy_of(fleets.team_keys("farm", "another"), version=9))
     world.run(2.5)
-    asked = fleets.ask(world, "box-0", KEY)
+    request = fleets.ask(world, "box-0", KEY)
     world.run(0.5)
-    assert asked.answer.status == 401
+    assert request.answer.status == 401
 
 
-def test_keyed_requests_are_served_for_three_seconds_of_an_outage():
+def test_keyed_requests_are_served_for_three_seconds_of_store_outage():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=10.0)
     world.store.up = False
-    told = []
+    requests = []
     for _ in range(14):
         world.run(0.5)
-        told.append(fleets.ask(world, "box-0", KEY))
+        requests.append(fleets.ask(world, "box-0", KEY))
     world.run(0.5)
-    assert samples.statuses(told)[:6] == [200] * 6
-    assert samples.statuses(told)[-4:] == [503] * 4
+    assert samples.statuses(requests)[:6] == [200] * 6
+    assert samples.statuses(requests)[-4:] == [503] * 4
 
 
-def test_all_serve_again_half_a_second_after_the_store_is_back():
+def test_confirmations_are_fresh_soon_after_store_recovers():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=10.0)
     world.store.up = False
     world.run(8.0)
@@ -89,50 +89,50 @@
     assert max(confirmation_ages(world)) < 2.0
 
 
-def test_a_daemon_that_starts_in_an_outage_serves_by_the_proof_of_others():
+def test_daemon_started_in_store_outage_uses_confirmation_of_others():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=10.0)
     world.store.up = False
     world.kill(world.boxes["box-4"], 0.2)
     world.run(1.2)
-    asked = fleets.ask(world, "box-4", KEY)
+    request = fleets.ask(world, "box-4", KEY)
     world.run(0.5)
-    assert asked.answer.status == 200
+    assert request.answer.status == 200
 
 
-def test_a_proof_that_comes_late_counts_from_its_own_question():
+def test_delayed_confirmation_counts_from_its_request():
     world = fleets.world_of(fleets.team_keys(), boxes=1, settle_s=5.0)
     box = world.boxes["box-0"]
     now = world.clock(box)
-    held = box.core.ctx.policy
-    late = store.ProvePolicy(
-        version=held.version, revision=held.revision, asked_at=now - 9.0
+    current = box.core.ctx.policy
+    delayed = store.ProvePolicy(
+        version=current.version, revision=current.revision, asked_at=now - 9.0
     )
     box.core.policy_freshness.confirmed_at = policy_freshness.NEVER
     world.store.cut = lambda one: True
     result = store.PolicyProved()
-    world.feed(box, events.StoreAnswered(request=late, result=result))
+    world.feed(box, events.StoreAnswered(request=delayed, result=result))
     assert box.core.policy_freshness.age_s(now) == 9.0
 
 
 def count_messages(monkeypatch, world, seconds: float) -> collections.Counter[str]:
-    told: collections.Counter[str] = collections.Counter()
+    counts: collections.Counter[str] = collections.Counter()
     encode = messages.encode
 
     def counted(message):
-        told[type(message).__name__] += 1
+        counts[type(message).__name__] += 1
         return encode(message)
 
     monkeypatch.setattr(messages, "encode", counted)
     world.run(seconds)
-    return told
+    return counts
 
 
-def test_a_fleet_without_teams_pays_no_word_and_no_call_for_them(monkeypatch):
+def test_fleet_without_teams_sends_no_team_messages_or_calls(monkeypatch):
     world = samples.world_of(9, data_centres=3)
     world.run(5.0)
     world.store.calls.clear()
-    told = count_messages(monkeypatch, world, 10.0)
-    assert not told.keys() & {
+    counts = count_messages(monkeypatch, world, 10.0)
+    assert not counts.keys() & {
         "ConfirmedPong",
         "TeamUsages",
         "TeamGrants",
--- a/tests/mesh/teams/test_quota.py
+++ b/tests/mesh/teams/test_quota.py
@@ -1,4 +1,4 @@
-"""How much of a team's requests is let in, and what is refused within its limit."""
+"""Admission of a team's requests by its quota, and rejections within the quota."""
 
 from __future__ import annotations
 
@@ -13,12 +13,10 @@
 RATE = 40.0
 KEY = "key-of-farm"
 MAX_REJECTED_RATIO = 0.02
-"""Share of requests within a limit that may be refused by unevenness of arrivals."""
+"""Ratio of requests within the quota that may be rejected, as arrivals are random."""
 
 MAX_PEAK_REJECTED_RATIO = 0.05
-"""The same of a peak that the burst just holds, and of a start above the rate, when no
-burst is held yet: 1.12 times the rate was refused 0.08 before a part of the burst was
-handed out steadily, 1.1 times 0.04 since."""
+"""The same for a peak that just fits the burst, and for a start above the rate."""
 
 
 def world_of(boxes: int = 9, rate: float = RATE, **more):
@@ -28,49 +26,49 @@
 
 
 def send_load(world, per_s: float, seconds: float, *, among: int | None = None):
-    """Have the team's callers ask at boxes drawn at random, of the first `among`."""
+    """Send the team's requests to random boxes of the first `among`."""
     names = list(world.boxes)[:among]
-    asked = []
+    requests = []
     ends = world.now + seconds
     while world.now < ends:
-        asked.append(fleets.ask(world, world.rng.choice(names), KEY))
+        requests.append(fleets.ask(world, world.rng.choice(names), KEY))
         world.run(world.rng.expovariate(per_s))
     world.run(0.5)
-    return asked
+    return requests
 
 
-def count_statuses(asked) -> collections.Counter[int]:
-    return collections.Counter(samples.statuses(asked))
+def count_statuses(requests) -> collections.Counter[int]:
+    return collections.Counter(samples.statuses(requests))
 
 
 def max_runs_in_window(world) -> int:
     times = sorted(one.at for one in world.targets.runs if one.ran)
-    numbered = enumerate(times)
-    return max(i + 1 - bisect.bisect_left(times, at - 5.0) for i, at in numbered)
+    indexed = enumerate(times)
+    return max(i + 1 - bisect.bisect_left(times, at - 5.0) for i, at in indexed)
 
 
 @pytest.mark.parametrize("among", [None, 3, 1])
-def test_a_team_within_its_rate_is_served_wherever_its_callers_are(among):
+def test_team_within_rate_is_served_at_any_boxes(among):
     world = world_of()
-    told = count_statuses(send_load(world, 0.95 * RATE, 15.0, among=among))
-    assert told[429] <= MAX_REJECTED_RATIO * told.total()
+    counts = count_statuses(send_load(world, 0.95 * RATE, 15.0, among=among))
+    assert counts[429] <= MAX_REJECTED_RATIO * counts.total()
 
 
-def test_a_team_that_starts_a_tenth_above_its_rate_is_served():
-    # In each window it is within rate and burst: that asks for 1.2 times the rate.
+def test_team_slightly_above_rate_is_served():
+    # Rate and burst allow 1.2 times the rate in each window.
     world = world_of()
-    told = count_statuses(send_load(world, 1.1 * RATE, 15.0))
-    assert told[429] <= MAX_PEAK_REJECTED_RATIO * told.total()
+    counts = count_statuses(send_load(world, 1.1 * RATE, 15.0))
+    assert counts[429] <= MAX_PEAK_REJECTED_RATIO * counts.total()
 
 
-def test_a_team_that_was_silent_has_its_whole_burst():
+def test_idle_team_has_its_full_burst():
     world = world_of()
     world.run(6.0)
-    told = count_statuses(send_load(world, 1.3 * RATE, 3.0))
-    assert told[429] <= MAX_REJECTED_RATIO * told.total()
+    counts = count_statuses(send_load(world, 1.3 * RATE, 3.0))
+    assert counts[429] <= MAX_REJECTED_RATIO * counts.total()
 
 
-def test_a_short_peak_is_served_from_the_burst():
+def test_short_peak_is_served_from_burst():
     world = world_of()
     send_load(world, 0.6 * RATE, 3.0)
     peak = count_statuses(send_load(world, 3.0 * RATE, 0.4))
@@ -80,23 +78,22 @@
 @pytest.mark.parametrize("times", [3.0, 7.5])
 @pytest.mark.parametrize("boxes", [9, 30])
 @pytest.mark.parametrize("rate", [4.0, 40.0])
-def test_a_hot_team_is_held_to_its_rate_and_no_lower(times, boxes, rate):
-    # Three to seven and a half times the usual is what the users' sheet draws, for
-    # teams of four to two hundred and eighty requests a second.
+def test_overloading_team_gets_its_rate_but_not_more(times, boxes, rate):
+    # Guards against an overloading team above, or far below, its quota.
     world = world_of(boxes, rate)
     send_load(world, 0.6 * rate, 3.0)
-    asked = send_load(world, 0.6 * rate * times, 10.0)
+    requests = send_load(world, 0.6 * rate * times, 10.0)
     allowed = (rate * 5 + rate) * 1.1 + 20
     assert max_runs_in_window(world) <= allowed
-    assert count_statuses(asked)[200] >= 0.85 * min(len(asked), 10 * rate)
+    assert count_statuses(requests)[200] >= 0.85 * min(len(requests), 10 * rate)
 
 
-def test_a_refused_caller_is_told_when_there_is_room():
+def test_rejected_caller_gets_retry_after():
     world = world_of()
-    asked = send_load(world, 5 * RATE, 3.0)
-    refused = [one for one in asked if one.answer.status == 429]
-    assert refused
-    assert all(0.1 < one.answer.retry_after_s < 3.0 for one in refused)
+    requests = send_load(world, 5 * RATE, 3.0)
+    rejected = [one for one in requests if one.answer.status == 429]
+    assert rejected
+    assert all(0.1 < one.answer.retry_after_s < 3.0 for one in rejected)
 
 
 def test_a_request_that_was_not_run_uses_nothing():
@@ -106,11 +103,11 @@
     send_load(world, 0.9 * RATE, 8.0)
     for box in world.boxes.values():
         box.target.sheds = False
-    told = count_statuses(send_load(world, 1.5 * RATE, 1.0))
-    assert told[429] == 0
+    counts = count_statuses(send_load(world, 1.5 * RATE, 1.0))
+    assert counts[429] == 0
 
 
-def test_a_lowered_limit_is_kept_within_a_window():
+def test_lowered_rate_holds_after_one_window():
     world = world_of()
     send_load(world, 0.9 * RATE, 5.0)
     lower = fleets.team_keys(rate=RATE / 4)
@@ -121,8 +118,8 @@
     assert max_runs_in_window(world) <= (RATE / 4 * 6) * 1.1 + 20
 
 
-def test_a_fleet_without_limits_tells_nothing_of_use():
-    limited, free = world_of(), fleets.world_of(fleets.team_keys(), boxes=9)
-    for world, words in ((limited, True), (free, False)):
+def test_fleet_without_quotas_sends_no_reports():
+    with_quota, without_quota = world_of(), fleets.world_of(fleets.team_keys(), boxes=9)
+    for world, expected in ((with_quota, True), (without_quota, False)):
         running = [box.core.coordination._running for box in world.boxes.values()]
-        assert running == [words] * 9
+        assert running == [expected] * 9
