--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A server may start again under its id: a lifetime is an id and a birth."""
+"""Incarnations of a target, which are told apart by its id and birth time."""
 
 from __future__ import annotations
 
@@ -34,23 +34,23 @@
     return events.Heartbeat(**(values | more))
 
 
-def opened(watch, **more) -> None:
+def open_target(watch, **more) -> None:
     watch.mark_replaced(2.0, "i-a")
     for sequence in (900, 901, 902):
         watch.heartbeat(2.0, heartbeat(sequence, **more))
     assert watch.phase is messages.Phase.READY
 
 
-def test_a_server_back_under_its_id_opens_by_its_first_report(watch):
-    opened(watch)
+def test_target_restarted_under_its_id_is_ready_by_first_heartbeat(watch):
+    open_target(watch)
     watch.mark_down(3.0, "refused")
     watch.heartbeat(4.0, heartbeat(1, born=BORN + 3000))
     assert watch.phase is messages.Phase.READY
     assert watch.incarnation == incarnations.name("i-a", BORN + 3000)
 
 
-def test_one_that_said_that_it_leaves_opens_under_its_id_when_born_anew(watch):
-    opened(watch)
+def test_new_incarnation_of_leaving_target_is_ready(watch):
+    open_target(watch)
     watch.heartbeat(3.0, heartbeat(903, ready=False))
     watch.heartbeat(3.1, heartbeat(904))
     assert watch.phase is messages.Phase.LEAVING
@@ -59,17 +59,17 @@
 
 
 @pytest.mark.parametrize("word", ["ready", "draining", "gone"])
-def test_a_late_word_of_the_lifetime_before_changes_nothing(watch, word):
-    opened(watch)
+def test_delayed_heartbeat_of_old_incarnation_is_ignored(watch, word):
+    open_target(watch)
     watch.heartbeat(6.0, heartbeat(1, born=BORN + 3000))
-    late = heartbeat(990, ready=word == "ready", gone=word == "gone")
-    assert watch.heartbeat(6.5, late)
+    delayed = heartbeat(990, ready=word == "ready", gone=word == "gone")
+    assert watch.heartbeat(6.5, delayed)
     assert watch.phase is messages.Phase.READY
     assert watch.incarnation == incarnations.name("i-a", BORN + 3000)
 
 
-def test_a_server_without_birth_works_as_before(watch):
-    opened(watch, born=0)
+def test_target_without_birth_time_is_known_by_its_id(watch):
+    open_target(watch, born=0)
     assert watch.incarnation == "i-a"
     watch.mark_down(3.0, "refused")
     watch.heartbeat(4.0, heartbeat(1, born=0))
@@ -78,39 +78,39 @@
     assert watch.phase is messages.Phase.READY
 
 
-def test_a_health_check_does_not_open_for_an_id_of_which_a_lifetime_left(watch):
+def test_health_check_does_not_open_departed_id(watch):
     watch.receive_peer_report(2.0, [incarnations.name("i-z", BORN)])
     watch.mark_replaced(2.0, "i-z")
-    well = events.ProbeAnswered(well=True, target_id="i-z", slots=8)
-    watch.probe_answered(2.1, well)
+    answer = events.ProbeAnswered(well=True, target_id="i-z", slots=8)
+    watch.probe_answered(2.1, answer)
     assert watch.phase is messages.Phase.UNKNOWN
     watch.heartbeat(2.2, heartbeat(1, target_id="i-z", born=BORN + 5))
     watch.heartbeat(2.3, heartbeat(2, target_id="i-z", born=BORN + 5))
     assert watch.phase is messages.Phase.READY
 
 
-def test_requests_reach_a_server_that_crashes_and_is_back_under_its_id():
+def test_restarted_target_serves_requests_under_its_id():
     world = samples.world_of(1, born=BORN, keeps_id=True)
     box = world.boxes["box-0"]
     for _ in range(3):
         world.targets.crash(box, 0.5)
         world.run(1.0)
-        asked = samples.ask(world, "box-0")
+        request = samples.ask(world, "box-0")
         world.run(0.5)
-        assert asked.answer.status == 200
+        assert request.answer.status == 200
 
 
-def test_what_was_out_at_the_lifetime_before_may_have_run():
+def test_request_in_flight_at_crash_may_have_run():
     world = samples.world_of(1, born=BORN, keeps_id=True, work_s=0.4)
     box = world.boxes["box-0"]
-    asked = samples.post(world, "box-0")
+    request = samples.post(world, "box-0")
     world.run(0.05)
     world.targets.crash(box, 0.05)
     world.run(2.0)
-    assert asked.answer.status == 502
+    assert request.answer.status == 502
 
 
-def test_memory_of_lifetimes_is_bounded(watch):
+def test_memory_of_incarnations_is_bounded(watch):
     for number in range(1000):
         watch.heartbeat(3.0, heartbeat(1, target_id=f"i-{number}"))
     assert len(watch._sequences) <= 64
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_a_server_that_a_health_check_opened_leaves_by_its_first_report(watch, gone):
+def test_target_opened_by_health_check_leaves_by_first_heartbeat(watch, gone):
     watch.mark_replaced(2.0, "i-a")
     watch.probe_answered(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
     assert watch.phase is messages.Phase.READY
@@ -129,7 +129,7 @@
     assert watch.phase is messages.Phase.LEAVING
 
 
-def test_a_report_that_is_late_does_not_open_for_an_id_that_left_without_its_birth(
+def test_delayed_heartbeat_does_not_open_id_departed_without_birth_time(
     watch,
 ):
     watch.mark_replaced(2.0, "i-a")
--- a/tests/mesh/test_policy_in_force.py
+++ b/tests/mesh/test_policy_in_force.py
@@ -1,4 +1,4 @@
-"""Which policy is in force, and what is asked without one."""
+"""Which policy is in force, and how requests are handled without one."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 from tests.mesh import samples, simulation
 
 
-def test_without_a_policy_a_request_is_refused_as_not_run():
+def test_request_without_policy_is_rejected_as_retryable():
     world = simulation.World(seed=1)
     world.add_box("box-0", "hall-0", "desk")
     world.run(2)
     box = world.boxes["box-0"]
     assert not box.core.ready(world.now)
-    asked = samples.ask(world, "box-0")
-    assert asked.answer.status == 503
-    assert asked.answer.retry_after_s > 0
+    request = samples.ask(world, "box-0")
+    assert request.answer.status == 503
+    assert request.answer.retry_after_s > 0
 
 
-def test_an_unknown_path_has_no_route():
+def test_unknown_path_has_no_route():
     world = samples.world_of(1)
-    asked = samples.ask(world, "box-0", path="/nowhere/1")
-    assert asked.answer.status == 404
+    request = samples.ask(world, "box-0", path="/nowhere/1")
+    assert request.answer.status == 404
 
 
-def test_a_policy_given_by_a_peer_is_in_force_when_the_store_turns_a_box_away():
+def test_policy_of_peer_applies_at_box_cut_off_from_store():
     world = samples.world_of(3)
-    away = world.boxes["box-1"]
-    world.store.cut = lambda box: box is away
+    isolated = world.boxes["box-1"]
+    world.store.cut = lambda box: box is isolated
     world.store.use(samples.policy_of(samples.route("new"), version=9))
     world.run(1.5)
     assert [box.core.ctx.version for box in world.boxes.values()] == [9, 9, 9]
 
 
-def test_an_older_policy_is_never_taken():
+def test_older_policy_is_ignored():
     world = samples.world_of(2)
     world.store.use(samples.policy_of(samples.route("new"), version=9))
     world.run(1)
@@ -43,7 +43,7 @@
     assert {box.core.ctx.version for box in world.boxes.values()} == {9}
 
 
-def test_a_box_that_starts_while_the_store_is_down_takes_the_policy_from_peers():
+def test_box_started_in_store_outage_gets_policy_from_peers():
     world = samples.world_of(3)
     world.store.up = False
     world.kill(world.boxes["box-2"], 0.5)
@@ -51,12 +51,12 @@
     box = world.boxes["box-2"]
     assert box.core.ready(world.now)
     assert box.core.ctx.version == 4
-    asked = samples.ask(world, "box-2")
+    request = samples.ask(world, "box-2")
     world.run(1)
-    assert asked.answer.status == 200
+    assert request.answer.status == 200
 
 
-def test_a_split_gets_its_weights():
+def test_traffic_split_follows_weights():
     world = simulation.World(seed=2)
     parts = (
         policy.SplitPart(service="desk", weight=90),
@@ -73,7 +73,7 @@
     assert share == pytest.approx(0.1, abs=0.02)
 
 
-def test_a_daemon_without_policy_gets_it_on_a_link_that_the_other_one_dialled():
+def test_daemon_without_policy_gets_it_on_incoming_link():
     world = samples.world_of(2)
     world.store.up = False
     box = world.boxes["box-1"]
