--- a/tests/mesh/test_registry.py
+++ b/tests/mesh/test_registry.py
@@ -1,4 +1,4 @@
-"""How often daemons call the store, and how soon their records are back."""
+"""Number of calls of the store, and how soon records are restored."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from tests.mesh.simulation import links
 
 
-def calls_made(world, seconds: float) -> dict[str, int]:
+def count_calls(world, seconds: float) -> dict[str, int]:
     world.store.calls.clear()
     world.run(seconds)
     return dict(world.store.calls)
 
 
-def test_a_calm_fleet_makes_cheap_calls_only_but_for_few_watches():
+def test_idle_fleet_makes_cheap_calls_and_few_watches():
     world = samples.world_of(12, data_centres=2)
     world.run(20)
-    calls = calls_made(world, 30)
-    # Four daemons of each data centre watch, each watch lasts ten seconds.
+    calls = count_calls(world, 30)
+    # Four daemons of each data centre watch, each for ten seconds at a time.
     assert calls.pop("WatchPolicy") <= 2 * 4 * 4
     assert set(calls) == {"KeepLease", "ReadBoxes"}
 
 
-def test_a_policy_reaches_daemons_that_do_not_watch():
+def test_policy_reaches_daemons_that_do_not_watch():
     world = samples.world_of(12, data_centres=2)
     world.run(20)
     world.store.use(samples.policy_of(samples.route("new"), version=9))
@@ -29,7 +29,7 @@
     assert {box.core.ctx.version for box in world.boxes.values()} == {9}
 
 
-def test_others_watch_when_those_who_do_are_gone():
+def test_other_daemons_watch_after_watchers_are_killed():
     world = samples.world_of(6)
     world.run(20)
     for name in ("box-0", "box-1", "box-2", "box-3"):
@@ -40,18 +40,18 @@
     assert {world.boxes[name].core.ctx.version for name in ("box-4", "box-5")} == {9}
 
 
-def test_an_outage_of_the_store_costs_one_cheap_call_at_a_time():
+def test_store_outage_causes_single_cheap_calls():
     world = samples.world_of(6)
     world.run(20)
     world.store.up = False
     world.run(4)
-    calls = calls_made(world, 10)
+    calls = count_calls(world, 10)
     assert set(calls) <= {"KeepLease", "ReadBoxes"}
-    # A call fails after one second, and the next one comes half a second later.
+    # A call fails after one second and is retried half a second later.
     assert sum(calls.values()) <= 6 * 10
 
 
-def test_records_that_lapsed_in_an_outage_are_back_two_seconds_after_it():
+def test_lapsed_records_are_back_two_seconds_after_outage():
     world = samples.world_of(6)
     world.run(20)
     world.store.up = False
@@ -63,18 +63,18 @@
     assert set(world.store.records) == set(world.boxes)
 
 
-def test_a_daemon_that_the_store_turns_away_asks_no_more_than_once_a_second():
+def test_rejected_daemon_calls_store_at_most_once_per_second():
     world = samples.world_of(6)
     world.run(20)
     world.store.refuses = lambda box: box.name in ("box-1", "box-2")
     world.run(4)
     before = dict(world.store.calls)
     world.run(10)
-    refused = world.store.calls["KeepLease"] - before["KeepLease"] - 4 * 5
-    assert refused <= 2 * 10
+    rejected = world.store.calls["KeepLease"] - before["KeepLease"] - 4 * 5
+    assert rejected <= 2 * 10
 
 
-def test_records_are_back_two_seconds_after_the_store_takes_their_daemons_again():
+def test_records_are_back_two_seconds_after_rejections_end():
     world = samples.world_of(6)
     world.run(20)
     world.store.refuses = lambda box: True
@@ -86,7 +86,7 @@
     assert len(world.store.records) == 6
 
 
-def test_a_record_that_was_taken_away_is_written_again():
+def test_deleted_record_is_written_again():
     world = samples.world_of(3)
     world.run(10)
     world.store.records.clear()
@@ -94,16 +94,16 @@
     assert set(world.store.records) == set(world.boxes)
 
 
-def test_daemons_that_start_together_find_each_other_at_once():
+def test_daemons_started_together_find_each_other():
     world = samples.world_of(4, data_centres=2)
     linked = [box.core.peers.any_link_up() for box in world.boxes.values()]
     assert all(linked)
     assert all(len(box.core.peers.by_address) == 3 for box in world.boxes.values())
 
 
-# Guards against a data centre that is cut off from the others and where the store
-# doesn't answer those who watch the policy: nobody there learned of a change.
-def test_daemons_cut_off_from_other_data_centres_watch_for_themselves():
+# Guards against missing a policy change in a partitioned data centre where the store
+# does not answer the watching daemons.
+def test_partitioned_daemons_watch_policy_themselves():
     world = samples.world_of(12, data_centres=2)
     world.run(10.0)
     watching = [
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy: its numbers count anew."""
+"""The store is restored from an older copy, and reuses revisions and leases."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 from tests.mesh import samples
 from tests.mesh.teams import fleets
 
-APPLY_S = 2.0
-"""Until when an accepted policy is in force, as the users agreed."""
-LOST = 5
-"""Changes that are not in the copy."""
+POLICY_TIMEOUT_S = 2.0
+"""Time in which an accepted policy must be in force, seconds."""
+LOST_CHANGES = 5
+"""Number of changes that the copy lacks."""
 
 
-def change(world):
-    """Have all daemons hold a revision that a copy of the store doesn't have."""
+def write_changes(world):
+    """Give all daemons a revision that the returned copy of the store lacks."""
     copy = world.store.copy()
-    world.store.write(LOST - 1)
+    world.store.write(LOST_CHANGES - 1)
     world.store.use(samples.policy_of(samples.route(), version=6))
     world.run(3.0)
     return copy
 
 
-def come_back(world, copy, away_s: float = 1.0) -> None:
-    """Have the store lose its newest changes, and operators write the policy again."""
+def restore_store(world, copy, outage_s: float = 1.0) -> None:
+    """Restore the store from a copy after an outage, and write the policy again."""
     newest = world.store.policy
     world.store.up = False
     world.store.restore(copy)
-    world.run(away_s)
+    world.run(outage_s)
     world.store.up = True
     world.store.use(newest)
 
@@ -36,49 +36,49 @@
     return {box.core.ctx.version for box in world.boxes.values()}
 
 
-# Guards against a watch that goes on after a number which counts other changes by then:
-# a policy accepted in between was in force nowhere, and no 410 told of it.
+# Guards against a watch from a revision of the earlier era, which would miss policies
+# accepted since, without a 410 response.
 @pytest.mark.parametrize("passed", [0, 1, 4, 5, 6, 40])
-def test_a_policy_accepted_after_the_store_came_back_is_in_force_in_time(passed):
+def test_policy_accepted_after_restore_applies_in_time(passed):
     world = samples.world_of(12, data_centres=2)
     world.run(10.0)
-    come_back(world, change(world))
+    restore_store(world, write_changes(world))
     new = samples.policy_of(samples.route("new"), version=9)
     world.store.use(new)
     world.store.write(passed)
-    world.run(APPLY_S)
+    world.run(POLICY_TIMEOUT_S)
     assert versions(world) == {9}
 
 
-# Guards against the same where the store is back before any daemon has missed it, so
-# that all that shows the new history is the era in the answer to a renewal.
-def test_a_return_that_cuts_no_watch_is_seen_by_the_next_answer():
+# Guards against the same if only the era in the answer to a lease renewal shows the
+# restore, as no call failed.
+def test_restore_that_keeps_watches_is_seen_by_next_answer():
     world = samples.world_of(12, data_centres=2)
     world.run(10.0)
-    world.store.restore(change(world), cuts_watches=False)
+    world.store.restore(write_changes(world), cuts_watches=False)
     world.run(3.0)
     world.store.use(samples.policy_of(samples.route("new"), version=9))
     world.store.write(40)
-    world.run(APPLY_S)
+    world.run(POLICY_TIMEOUT_S)
     assert versions(world) == {9}
 
 
-# Guards against reads without a pause where a replica that lags behind still answers
-# for the store as it was before.
-def test_a_replica_of_an_earlier_era_is_not_asked_again_and_again():
+# Guards against reads without a delay while a lagging replica answers with the earlier
+# era.
+def test_outdated_replica_is_not_read_repeatedly():
     world = samples.world_of(3)
     world.store.replica_era = world.store.era
     world.store.restore(world.store.copy())
     world.run(3.0)
     world.store.calls.clear()
     world.run(10.0)
-    # Each read of the records, every 4 to 6 s, comes twice: stale, then not.
+    # Each read of the records, every 4 to 6 s, is made twice: stale, then not.
     assert world.store.calls["ReadBoxes"] <= 3 * 2 * 3
     assert set(world.store.records) == set(world.boxes)
 
 
-# Guards against a policy that goes back with the store.
-def test_an_older_policy_of_the_copy_is_not_taken():
+# Guards against a downgrade of the policy by the restored store.
+def test_older_policy_of_copy_is_ignored():
     world = samples.world_of(6, data_centres=2)
     copy = world.store.copy()
     world.store.use(samples.policy_of(samples.route("new"), version=9))
@@ -87,13 +87,13 @@
     world.run(8.0)
     assert versions(world) == {9}
     world.store.use(samples.policy_of(samples.route("new"), version=11))
-    world.run(APPLY_S)
+    world.run(POLICY_TIMEOUT_S)
     assert versions(world) == {11}
 
 
-# Guards against a lease that is another daemon's in the new history: a daemon whose
-# record was lost went on renewing the other's, and nobody could find it.
-def test_records_lost_with_the_copy_are_back_though_the_lease_is_given_out_again():
+# Guards against a daemon without a record that renews a lease which belongs to another
+# daemon since the restore.
+def test_lost_records_are_back_although_lease_is_reused():
     world = samples.world_of(2)
     copy = world.store.copy()
     world.add_box("box-2", "hall-0", "desk")
@@ -102,33 +102,33 @@
     world.add_box("box-3", "hall-0", "desk")
     world.run(3.0)
     assert set(world.store.records) == set(world.boxes)
-    kept = {box.core.registry._lease for box in world.boxes.values()}
-    assert len(kept) == len(world.boxes)
+    leases = {box.core.registry._lease for box in world.boxes.values()}
+    assert len(leases) == len(world.boxes)
 
 
-# Guards against a confirmation by a revision that was given out anew: the policy was
-# taken for the newest while one that took keys away had that revision.
-def test_a_revision_given_out_anew_confirms_no_policy():
+# Guards against a confirmation by a reused revision, which now is that of a policy that
+# revokes keys.
+def test_reused_revision_confirms_no_policy():
     world = fleets.world_of(fleets.team_keys(), boxes=1, settle_s=5.0)
     box = world.boxes["box-0"]
     copy = world.store.copy()
     world.store.use(fleets.policy_of(fleets.team_keys(), version=6))
     world.run(3.0)
-    held = box.core.ctx.policy
-    assert (held.version, held.revision) == (6, world.store.revision)
+    current = box.core.ctx.policy
+    assert (current.version, current.revision) == (6, world.store.revision)
     world.store.restore(copy, cuts_watches=False)
     world.store.use(
         fleets.policy_of(fleets.team_keys("farm", "another"), version=9),
     )
-    assert world.store.revision == held.revision
+    assert world.store.revision == current.revision
     world.run(fleets.REVOCATION_S)
-    asked = fleets.ask(world, "box-0", "key-of-farm")
+    request = fleets.ask(world, "box-0", "key-of-farm")
     world.run(0.5)
-    assert asked.answer.status in (401, 503)
+    assert request.answer.status in (401, 503)
 
 
-# Guards against a confirmation by a copy that is older than the policy in force.
-def test_an_older_policy_in_the_store_confirms_nothing():
+# Guards against a confirmation by a store whose policy is older than the one in force.
+def test_older_policy_in_store_confirms_nothing():
     world = fleets.world_of(fleets.team_keys(), boxes=1, settle_s=5.0)
     box = world.boxes["box-0"]
     copy = world.store.copy()
