--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -174,7 +174,7 @@
     def handshake_done(
         self, now: float, peer: peers.Peer, message: messages.Welcome
     ) -> None:
-        """Complete a handshake by a daemon's answer to `Hello`."""
+        """Complete the handshake on a link by the `Welcome` of its daemon."""
         restarted = peer.incarnation != message.incarnation
         peer.link = peers.LinkState.UP
         peer.redial_delay_s = peers.MIN_REDIAL_DELAY_S
--- a/ferrydeck/mesh/members/registry.py
+++ b/ferrydeck/mesh/members/registry.py
@@ -1,5 +1,4 @@
-"""Calls of the platform's store: reads the policy and the records of other daemons, and
-keeps this daemon's own record under a lease.
+"""Keeps this box's record in the store, and reads the policy and the other records.
 
 Each step requests whatever is due and not yet requested; there is no queue of calls.
 After a failed call only one cheap call at a time probes whether the store is back,
--- a/ferrydeck/mesh/teams/quota.py
+++ b/ferrydeck/mesh/teams/quota.py
@@ -46,7 +46,7 @@
 MIN_GRANT_INTERVAL_S = 0.2
 """Shortest interval between grants below one, which go to all daemons, seconds."""
 RESEND_INTERVAL_S = 1.0
-"""Interval after which an unchanged grant below one is sent again, seconds."""
+"""Interval after which a grant is sent again even if it is unchanged, seconds."""
 MAX_FULL_SENDS = 2
 """Times that a full grant is sent; daemons whose coordinator has just changed may
 ignore the first one."""
--- a/ferrydeck/mesh/teams/quota_exchange.py
+++ b/ferrydeck/mesh/teams/quota_exchange.py
@@ -16,7 +16,7 @@
 """Interval between sending usage and grants, seconds; a longer one saves few messages
 and limits a team later."""
 COORDINATOR_TIMEOUT_S = 0.5
-"""Silence after which a coordinator that does not reply becomes suspect, seconds."""
+"""Silence after which a coordinator must reply to usage or become suspect, seconds."""
 VIEW_SETTLE_S = 0.5
 """Time after a change of the reachable daemons in which grants are not raised, seconds;
 a new coordinator knows a part of the demand only."""
