--- a/ferrydeck/signed/core/forwarding.py
+++ b/ferrydeck/signed/core/forwarding.py
@@ -101,7 +101,7 @@
             # The resend was charged as a retry but did not run again.
             call.allowance.refund(1)
         if call.stream is not None:
-            self.streaming.handle_resumed(now, call, message)
+            self.streaming.resume(now, call, message)
             return
         self.ctx.emit(calls.response(call, envelope.box, message))
         if len(message.body) < message.total:
--- a/ferrydeck/signed/core/hashes.py
+++ b/ferrydeck/signed/core/hashes.py
@@ -1,4 +1,4 @@
-"""Hashes that every daemon must agree on: xxHash of UTF-8 text."""
+"""Hashes that must be the same in every daemon: xxHash of UTF-8 text."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def hash64(text: str) -> int:
-    """Return a number of 64 bits for a text."""
+    """Return the 64-bit hash of a text."""
     return xxhash.xxh64_intdigest(text.encode())
 
 
 def fingerprint(*parts: str | bytes) -> int:
-    """Return a number of 64 bits for some parts, separated by their lengths."""
+    """Return a 64-bit hash of several parts, each prefixed with its length."""
     digest = xxhash.xxh3_64()
     for part in parts:
         data = part.encode() if isinstance(part, str) else part
@@ -21,5 +21,5 @@
 
 
 def hash128_hex(text: str) -> str:
-    """Return 128 bits for a text, as hexadecimal."""
+    """Return the 128-bit hash of a text in hexadecimal."""
     return xxhash.xxh3_128_hexdigest(text.encode())
--- a/ferrydeck/signed/core/jobs.py
+++ b/ferrydeck/signed/core/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: the forwarded attempts at the target beside this daemon."""
+"""Jobs: the attempts that were forwarded to the target beside this daemon."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Sender:
-    """The daemon that an attempt came from."""
+    """The daemon that forwarded an attempt."""
 
     box: str
     incarnation: int
@@ -20,7 +20,7 @@
 
 
 class JobState(enum.Enum):
-    """How far a job has come."""
+    """State of a job."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -30,23 +30,23 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Job:
-    """One forwarded attempt at this target."""
+    """One forwarded attempt for this target."""
 
     sender: Sender
     forward: messages.Forward
     accepted_at: float
-    """When the caller's sending came to its entry daemon, on this box's clock."""
+    """When the caller's entry daemon accepted the request, on this box's clock."""
     deadline: float
-    key_record: keys.KeyRecord | None = None
+    key_record: keys.Record | None = None
     state: JobState = JobState.QUEUED
     dispatch_id: int = 0
     started_at: float = 0.0
     run_token: str = ""
     sent_bytes: int = 0
     body_bytes: int = 0
-    last_progress_at: float = 0.0
+    progress_at: float = 0.0
 
 
 def attempt_id(job: Job) -> tuple[str, int, int]:
-    """Return what identifies an attempt."""
+    """Return the unique id of a job's attempt."""
     return (job.sender.box, job.sender.incarnation, job.forward.attempt)
--- a/ferrydeck/signed/core/keys.py
+++ b/ferrydeck/signed/core/keys.py
@@ -1,4 +1,4 @@
-"""What the owner of a shard remembers of the keys in it."""
+"""The table of idempotency keys that the owner of a shard keeps."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
 from ferrydeck.signed.wire import messages
 
 MAX_STORED_ANSWER_BYTES = 64 * 1024
-"""The longest answer that is remembered, bytes; a longer one is reported as unknown."""
+"""Longer answers are not stored; retries of their keys get an uncertain outcome."""
 
 
 class KeyState(enum.StrEnum):
-    """How far the work of a key has come."""
+    """State of the request with a key."""
 
     PENDING = "pending"
     RUNNING = "running"
     DONE = "done"
     UNCERTAIN = "uncertain"
     REFUSED = "refused"
-    """Reported as not run; a sending that began before that is rejected too."""
+    """Reported as not run; retries that were sent before that report are rejected."""
 
 
 @attrs.define(kw_only=True)
-class KeyRecord:
-    """One key."""
+class Record:
+    """State and stored answer of one key."""
 
     key: str
     caller: str
@@ -46,7 +46,7 @@
 
     @property
     def in_flight(self) -> bool:
-        """Return whether the fate of the key is still open."""
+        """Return whether the outcome of the key is still open."""
         return self.state in (KeyState.PENDING, KeyState.RUNNING)
 
 
@@ -56,7 +56,7 @@
 
 
 def fingerprint(method: str, path: str, body: bytes) -> int:
-    """Return a number that differs for another request under the same key."""
+    """Return a hash that detects the reuse of a key for a different request."""
     return hashes.fingerprint(method, path, body)
 
 
@@ -64,82 +64,82 @@
 class KeyTable:
     """The keys of all shards that this daemon owns or is about to own."""
 
-    shards: dict[int, dict[str, KeyRecord]] = attrs.Factory(
+    shards: dict[int, dict[str, Record]] = attrs.Factory(
         lambda: collections.defaultdict(dict)
     )
     count: int = 0
     _expiry_heap: list[tuple[float, int, str]] = attrs.Factory(list)
 
-    def find(self, key: str) -> KeyRecord | None:
-        """Return the entry of a key, or `None`."""
+    def find(self, key: str) -> Record | None:
+        """Return the record of a key, or `None`."""
         return self.shards[shard_of(key)].get(key)
 
-    def add(self, entry: KeyRecord) -> None:
-        """Remember a key until its time is over."""
-        shard = shard_of(entry.key)
-        if entry.key not in self.shards[shard]:
+    def add(self, record: Record) -> None:
+        """Add a key, to be kept until it expires."""
+        shard = shard_of(record.key)
+        if record.key not in self.shards[shard]:
             self.count += 1
-        self.shards[shard][entry.key] = entry
-        heapq.heappush(self._expiry_heap, (entry.expires_at, shard, entry.key))
-
-    def mark_refused(self, entry: KeyRecord, now: float, retention_s: float) -> None:
-        """Note that the key was reported as not run."""
-        entry.state = KeyState.REFUSED
-        entry.refused_at = now
-        entry.expires_at = now + retention_s
+        self.shards[shard][record.key] = record
+        heapq.heappush(self._expiry_heap, (record.expires_at, shard, record.key))
+
+    def mark_refused(self, record: Record, now: float, retention_s: float) -> None:
+        """Record that the key was reported as not run."""
+        record.state = KeyState.REFUSED
+        record.refused_at = now
+        record.expires_at = now + retention_s
         heapq.heappush(
-            self._expiry_heap, (entry.expires_at, shard_of(entry.key), entry.key)
+            self._expiry_heap, (record.expires_at, shard_of(record.key), record.key)
         )
 
     def has_in_flight(self, shard: int) -> bool:
-        """Return whether the fate of any key in the shard is still open."""
-        return any(entry.in_flight for entry in self.shards[shard].values())
+        """Return whether the outcome of any key in the shard is still open."""
+        return any(record.in_flight for record in self.shards[shard].values())
 
     def expire(self, now: float) -> None:
-        """Forget the keys whose time is over."""
+        """Remove expired keys."""
         while self._expiry_heap and self._expiry_heap[0][0] <= now:
             _, shard, key = heapq.heappop(self._expiry_heap)
-            entry = self.shards[shard].get(key)
-            if entry is None or entry.expires_at > now or entry.in_flight:
+            record = self.shards[shard].get(key)
+            if record is None or record.expires_at > now or record.in_flight:
                 continue
             del self.shards[shard][key]
             self.count -= 1
 
     def drop_shard(self, shard: int) -> None:
-        """Forget a whole shard."""
+        """Remove all keys of a shard."""
         self.count -= len(self.shards.pop(shard, {}))
 
     def export_shard(self, shard: int, now: float) -> tuple[messages.KeyEntry, ...]:
-        """Return the shard's keys as they are handed to a successor."""
+        """Return the shard's keys in the form that is sent to a new owner."""
         return tuple(
             messages.KeyEntry(
-                key=entry.key,
-                caller=entry.caller,
-                fingerprint=entry.fingerprint,
-                state=entry.state,
-                kept_for_ms=(entry.expires_at - now) * 1000,
-                refused_ago_ms=(now - entry.refused_at) * 1000,
-                status=entry.status,
-                headers=entry.headers,
-                body=entry.body,
+                key=record.key,
+                caller=record.caller,
+                fingerprint=record.fingerprint,
+                state=record.state,
+                kept_for_ms=(record.expires_at - now) * 1000,
+                refused_ago_ms=(now - record.refused_at) * 1000,
+                status=record.status,
+                headers=record.headers,
+                body=record.body,
             )
-            for entry in self.shards[shard].values()
+            for record in self.shards[shard].values()
         )
 
     def import_entries(self, entries: Iterable[messages.KeyEntry], now: float) -> None:
-        """Remember the keys that a predecessor handed over."""
-        for given in entries:
-            state = KeyState(given.state)
+        """Add the keys that the previous owner handed over."""
+        for entry in entries:
+            state = KeyState(entry.state)
             self.add(
-                KeyRecord(
-                    key=given.key,
-                    caller=given.caller,
-                    fingerprint=given.fingerprint,
+                Record(
+                    key=entry.key,
+                    caller=entry.caller,
+                    fingerprint=entry.fingerprint,
                     state=state,
-                    expires_at=now + given.kept_for_ms / 1000,
-                    status=given.status,
-                    headers=given.headers,
-                    body=given.body,
-                    refused_at=now - given.refused_ago_ms / 1000,
+                    expires_at=now + entry.kept_for_ms / 1000,
+                    status=entry.status,
+                    headers=entry.headers,
+                    body=entry.body,
+                    refused_at=now - entry.refused_ago_ms / 1000,
                 )
             )
--- a/ferrydeck/signed/core/leases.py
+++ b/ferrydeck/signed/core/leases.py
@@ -125,7 +125,7 @@
     def handle_result(
         self, now: float, request: platform.Request, result: platform.Result
     ) -> bool:
-        """Handle a result for the key; return whether the lease ended."""
+        """Handle a result for the key; return whether a term ended."""
         self._request_pending = False
         match result:
             case platform.Written(version=version):
--- a/ferrydeck/signed/core/once.py
+++ b/ferrydeck/signed/core/once.py
@@ -1,7 +1,7 @@
-"""Calls that must not run twice, at their target: the key decides what happens.
+"""At-most-once execution: handles attempts that carry an idempotency key.
 
-Owns the jobs that wait for their shard to move. Relies on `shards` for what this
-box may answer for a key, and on the table of `keys` for what it remembers.
+`shards` tells for which keys this box may answer, and the table in `keys` stores their
+states and answers. Owns the jobs that are deferred while their shard is handed over.
 """
 
 from __future__ import annotations
@@ -12,69 +12,67 @@
 from ferrydeck.signed.wire import messages
 
 MAX_TRANSIT_S = 0.1
-"""Transit that the age of a sending may not show, seconds."""
+"""Transit time that may be missing from the reported age of a request."""
 
 
 @attrs.define(kw_only=True)
 class KeyedJobs:
-    """Starts each key at most once and answers all its sendings."""
+    """Starts the job of each key at most once and answers every retry of it."""
 
     ctx: context.Context
     replies: replies.ReplySender
     owner: shards.ShardOwner
     table: keys.KeyTable
     deferred: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
-    """Jobs of unknown keys that wait until their shard has moved."""
+    """Jobs with unknown keys that wait until the handover of their shard ends."""
 
     def admit(self, now: float, job: jobs.Job, reason: messages.Reason | None) -> bool:
-        """Return whether to queue an attempt; answer or park it where not.
+        """Return whether to queue an attempt; otherwise answer or defer it.
 
-        `reason` is why it is to be rejected unless its key is known, if at all.
+        `reason` is a reason to reject it that applies unless its key is known.
         """
         if reason is messages.Reason.NO_TARGET:
             self.replies.reject(now, job, reason)
             return False
-        claim = self.owner.key_authority(now, keys.shard_of(job.forward.key))
-        if isinstance(claim, ownership.NotOwner):
-            self.replies.reject(now, job, claim.reason, owner=claim.owner)
+        authority = self.owner.key_authority(now, keys.shard_of(job.forward.key))
+        if isinstance(authority, ownership.NotOwner):
+            self.replies.reject(now, job, authority.reason, owner=authority.owner)
             return False
-        entry = self.table.find(job.forward.key)
-        if entry is not None and entry.state is not keys.KeyState.REFUSED:
-            self._answer_known_key(now, job, entry)
+        record = self.table.find(job.forward.key)
+        if record is not None and record.state is not keys.KeyState.REFUSED:
+            self._answer_known_key(now, job, record)
             return False
-        if isinstance(claim, ownership.KnownKeys):
-            self._answer_unknown_key(now, job, claim)
+        if isinstance(authority, ownership.KnownKeys):
+            self._answer_unknown_key(now, job, authority)
             return False
-        if entry is not None and job.accepted_at - MAX_TRANSIT_S <= entry.refused_at:
+        if record is not None and job.accepted_at - MAX_TRANSIT_S <= record.refused_at:
             self.replies.reject(now, job, messages.Reason.STALE_SENDING)
             return False
         return self._add_key(now, job, reason)
 
     def take_deferred(self) -> list[jobs.Job]:
-        """Return the parked jobs, to be decided on again."""
-        parked, self.deferred = self.deferred, {}
-        return list(parked.values())
+        """Remove and return the deferred jobs."""
+        deferred, self.deferred = self.deferred, {}
+        return list(deferred.values())
 
-    def cancel_duplicate(
-        self, now: float, job: jobs.Job, entry: keys.KeyRecord
-    ) -> None:
-        """Answer one of several sendings of a key, which itself stays queued."""
-        if entry.jobs[0] is job:
+    def cancel_duplicate(self, now: float, job: jobs.Job, record: keys.Record) -> None:
+        """Cancel a retry that waits for the answer of another attempt with its key."""
+        if record.jobs[0] is job:
             return
-        entry.jobs.remove(job)
+        record.jobs.remove(job)
         self.replies.jobs.pop(jobs.attempt_id(job), None)
         self.replies.reply_uncertain(now, job, messages.Reason.CANCELLED)
 
-    def store_answer(self, entry: keys.KeyRecord, answer: messages.Answer) -> None:
-        """Remember the answer of a key and send it to all who wait for it."""
+    def store_answer(self, record: keys.Record, answer: messages.Answer) -> None:
+        """Store the answer of a key and send it to all waiting retries."""
         kept = len(answer.body) <= keys.MAX_STORED_ANSWER_BYTES
-        entry.state = keys.KeyState.DONE if kept else keys.KeyState.UNCERTAIN
+        record.state = keys.KeyState.DONE if kept else keys.KeyState.UNCERTAIN
         if kept:
-            entry.status = answer.status
-            entry.headers = answer.headers
-            entry.body = answer.body
-        waiters = entry.jobs[1:]
-        entry.jobs = []
+            record.status = answer.status
+            record.headers = answer.headers
+            record.body = answer.body
+        waiters = record.jobs[1:]
+        record.jobs = []
         for waiter in waiters:
             self.replies.jobs.pop(jobs.attempt_id(waiter), None)
             self.replies.send(
@@ -88,51 +86,51 @@
             )
 
     def mark_uncertain(
-        self, now: float, entry: keys.KeyRecord, reason: messages.Reason
+        self, now: float, record: keys.Record, reason: messages.Reason
     ) -> None:
-        """Mark a key as uncertain, and answer all who wait for it."""
-        entry.state = keys.KeyState.UNCERTAIN
-        for waiter in entry.jobs:
+        """Mark the outcome of a key as uncertain and notify all waiting attempts."""
+        record.state = keys.KeyState.UNCERTAIN
+        for waiter in record.jobs:
             self.replies.jobs.pop(jobs.attempt_id(waiter), None)
             self.replies.reply_uncertain(now, waiter, reason)
-        entry.jobs = []
+        record.jobs = []
 
-    def _answer_known_key(
-        self, now: float, job: jobs.Job, entry: keys.KeyRecord
-    ) -> None:
-        """Answer for a key that has run, runs or waits to run."""
+    def _answer_known_key(self, now: float, job: jobs.Job, record: keys.Record) -> None:
+        """Answer an attempt whose key has run, is running or is queued."""
         forward = job.forward
-        mark = keys.fingerprint(forward.method, forward.path, forward.body)
-        if entry.fingerprint != mark or entry.caller != forward.caller:
+        fingerprint = keys.fingerprint(forward.method, forward.path, forward.body)
+        if record.fingerprint != fingerprint or record.caller != forward.caller:
             self.replies.reject(now, job, messages.Reason.KEY_MISMATCH)
             return
-        if entry.in_flight:
-            job.key_record = entry
-            entry.jobs.append(job)
+        if record.in_flight:
+            job.key_record = record
+            record.jobs.append(job)
             self.replies.jobs[jobs.attempt_id(job)] = job
             return
-        if entry.state is keys.KeyState.UNCERTAIN:
+        if record.state is keys.KeyState.UNCERTAIN:
             self.replies.reply_uncertain(now, job, messages.Reason.TARGET_LOST)
             return
-        self.replies.send(job, self._stored_answer(now, job, entry))
+        self.replies.send(job, self._stored_answer(now, job, record))
 
     def _answer_unknown_key(
-        self, now: float, job: jobs.Job, claim: ownership.KnownKeys
+        self, now: float, job: jobs.Job, authority: ownership.KnownKeys
     ) -> None:
-        """Answer for a key that this owner can't judge."""
-        if claim.reason is messages.Reason.MOVING:
-            # The move takes some ms; then the successor is known, or it failed.
+        """Answer or defer an attempt whose key may be known to another owner only."""
+        if authority.reason is messages.Reason.MOVING:
+            # The handover takes milliseconds; the job is processed again after it.
             self.deferred[jobs.attempt_id(job)] = job
             return
-        self.replies.reply_uncertain(now, job, claim.reason, claim.retry_after_s)
+        self.replies.reply_uncertain(
+            now, job, authority.reason, authority.retry_after_s
+        )
 
     def _add_key(
         self, now: float, job: jobs.Job, reason: messages.Reason | None
     ) -> bool:
-        """Remember a key that is not known here; return whether to queue its job."""
+        """Add a new key to the table; return whether to queue its job."""
         bundle = self.ctx.active.bundle
         forward = job.forward
-        entry = keys.KeyRecord(
+        record = keys.Record(
             key=forward.key,
             caller=forward.caller,
             fingerprint=keys.fingerprint(forward.method, forward.path, forward.body),
@@ -143,22 +141,22 @@
         if self.table.count >= bundle.once.max_keys:
             self.replies.reject(now, job, messages.Reason.KEYS_FULL)
             return False
-        self.table.add(entry)
-        job.key_record = entry
+        self.table.add(record)
+        job.key_record = record
         if reason is not None:
             self.replies.reject_key(now, job, reason)
             return False
         return True
 
     def _stored_answer(
-        self, now: float, job: jobs.Job, entry: keys.KeyRecord
+        self, now: float, job: jobs.Job, record: keys.Record
     ) -> messages.Answer:
         return messages.Answer(
             attempt=job.forward.attempt,
-            status=entry.status,
-            headers=entry.headers,
-            body=entry.body,
-            total=len(entry.body),
+            status=record.status,
+            headers=record.headers,
+            body=record.body,
+            total=len(record.body),
             unused=job.forward.allowance,
             load=self.replies.target.load(now),
             replayed=True,
--- a/ferrydeck/signed/core/platform.py
+++ b/ferrydeck/signed/core/platform.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's key-value service and their results, as data."""
+"""Requests to the platform's key-value service, and their results."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     value: str
     expected_version: int
     ttl_s: float = 0.0
-    """Life of the key unless it is written again, seconds; 0 for no end."""
+    """Time to live, which each write restarts; 0 for no expiry."""
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -41,7 +41,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ListBoxes:
-    """Read the platform's list of boxes, which lags."""
+    """Read the platform's list of boxes, which may be out of date."""
 
 
 Request = Read | List | Write | Watch | ListBoxes
@@ -58,7 +58,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ListedBox:
-    """A box as the platform's list has it."""
+    """A box in the platform's list."""
 
     box: str
     address: str
@@ -108,7 +108,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class NoAnswer:
-    """No usable answer came; a write may have taken effect."""
+    """No valid response arrived; a write may have taken effect."""
 
     detail: str
 
--- a/ferrydeck/signed/core/recent.py
+++ b/ferrydeck/signed/core/recent.py
@@ -1,4 +1,4 @@
-"""A memory of what was seen lately, in two halves of fixed length in time."""
+"""A set of recently added items, kept as two generations that rotate."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @attrs.define(kw_only=True)
 class RecentSet:
-    """Remembers each item for at least `retention_s`, at most twice as long."""
+    """Keeps each item for at least `retention_s`."""
 
     retention_s: float
     _current: set[Hashable] = attrs.Factory(set)
@@ -17,7 +17,7 @@
     _rotate_at: float = 0.0
 
     def add(self, now: float, item: Hashable) -> None:
-        """Remember an item."""
+        """Add an item."""
         if now >= self._rotate_at:
             self._previous = self._current
             self._current = set()
--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -1,8 +1,7 @@
-"""Runs at the target beside this daemon: from dispatch to the end of the answer.
+"""Execution of jobs at the target beside this daemon, from dispatch to full answer.
 
-Owns the running jobs. Relies on `admission` for which job starts next, on `once`
-for the keys of calls that must not run twice, and on `correlation`, which knows a
-run by its token while nested calls may come.
+`admission` decides which job starts next, `once` tracks the keys of requests that
+must not run twice, and `correlation` maps the tokens of nested calls to running jobs.
 """
 
 from __future__ import annotations
@@ -29,23 +28,23 @@
 from ferrydeck.signed.wire import messages
 
 MAX_PARTS_IN_FLIGHT = 4
-"""Parts of a long body that are on their way to a caller's daemon at most."""
+"""Flow-control window of a streamed answer, in parts."""
 STALL_TIMEOUT_S = 10.0
-"""Time without progress after which a long answer is ended, seconds."""
+"""Time without progress after which a streamed answer is aborted."""
 OVERLOAD_STATUS = 503
-"""A status by which the target itself sheds load; it lowers the limit."""
+"""Status with which a target sheds load; it lowers the concurrency limit."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class StallTimer:
-    """Time to see whether a long answer still moves."""
+    """Fires when a streamed answer may have stalled."""
 
     dispatch: int
 
 
 @attrs.define(kw_only=True)
 class Runs:
-    """Starts jobs at the target and passes their answers on."""
+    """Dispatches jobs to the target and forwards its answers."""
 
     ctx: context.Context
     owner: shards.ShardOwner
@@ -54,15 +53,15 @@
     replies: replies.ReplySender
     once: once.KeyedJobs
     running: dict[int, jobs.Job] = attrs.Factory(dict)
-    """The running jobs by the number of their dispatch."""
-    _running_requests: collections.Counter[str] = attrs.Factory(collections.Counter)
+    """The running jobs by dispatch id."""
+    _requests: collections.Counter[str] = attrs.Factory(collections.Counter)
 
     def is_request_running(self, request_id: str) -> bool:
-        """Return whether the target works on a request, at any depth."""
-        return request_id in self._running_requests
+        """Return whether a job of a request is running here, at any call depth."""
+        return request_id in self._requests
 
     def apply_decisions(self, now: float, decisions: list[admission.Decision]) -> None:
-        """Start or reject jobs as admission decided."""
+        """Start or reject jobs as decided by admission control."""
         for decision in decisions:
             match decision:
                 case admission.Start(job=job):
@@ -71,36 +70,36 @@
                     self.replies.reject_key(now, job, reason)
 
     def cancel(self, now: float, job: jobs.Job) -> None:
-        """Stop a running job whose answer nobody wants any more.
+        """Stop a running job whose caller no longer waits.
 
-        A call that must not run twice is left to end: its key keeps the answer.
+        A request that must not run twice runs to completion and its answer is stored.
         """
         if job.state is jobs.JobState.STREAMING or not job.forward.once:
             self.ctx.emit(effects.CancelTarget(dispatch=job.dispatch_id))
             self._finish(now, job, overloaded=False)
 
     def read_parts(self, now: float, job: jobs.Job, parts: int) -> None:
-        """Read further parts of a long answer, as the caller takes them."""
+        """Read more parts of a streamed answer, as the caller grants credit."""
         if job.state is not jobs.JobState.STREAMING:
             return
-        job.last_progress_at = now
+        job.progress_at = now
         for _ in range(parts):
             self.ctx.emit(effects.ReadTarget(dispatch=job.dispatch_id))
 
     def handle_head(self, now: float, event: events.TargetHead) -> None:
-        """Pass on the target's answer, or the first part of it."""
+        """Forward the target's answer, or the first part of a streamed one."""
         job = self.running.get(event.dispatch)
         if job is None:
             self.ctx.count("late_answers", "target")
             return
-        long = len(event.body) < event.total
-        if long and job.forward.once:
-            self._reply_uncertain(now, job, messages.Reason.BAD_ANSWER)
+        streamed = len(event.body) < event.total
+        if streamed and job.forward.once:
+            self._lose_answer(now, job, messages.Reason.BAD_ANSWER)
             return
         job.body_bytes = event.total
         job.sent_bytes = len(event.body)
         unused = self.correlation.remove(job.run_token)
-        if not long:
+        if not streamed:
             self._finish(now, job, overloaded=event.status == OVERLOAD_STATUS)
         answer = messages.Answer(
             attempt=job.forward.attempt,
@@ -114,11 +113,11 @@
         if job.key_record is not None:
             self.once.store_answer(job.key_record, answer)
         self.replies.send(job, answer)
-        if long:
+        if streamed:
             self._stream(now, job)
 
     def handle_part(self, now: float, event: events.TargetPart) -> None:
-        """Pass on a further part of a long answer."""
+        """Forward the next part of a streamed answer."""
         job = self.running.get(event.dispatch)
         if job is None or job.state is not jobs.JobState.STREAMING:
             return
@@ -126,13 +125,13 @@
             attempt=job.forward.attempt, offset=job.sent_bytes, data=event.data
         )
         job.sent_bytes += len(event.data)
-        job.last_progress_at = now
+        job.progress_at = now
         self.replies.send(job, part)
         if job.sent_bytes >= job.body_bytes:
             self._finish(now, job, overloaded=False)
 
     def handle_failure(self, now: float, event: events.TargetFailed) -> None:
-        """Act on a target that gave no whole answer."""
+        """Handle a target that failed before its answer was complete."""
         job = self.running.get(event.dispatch)
         if job is None:
             return
@@ -141,19 +140,19 @@
             self._finish(now, job, overloaded=True)
             return
         if event.sent:
-            self._reply_uncertain(now, job, event.reason)
+            self._lose_answer(now, job, event.reason)
             return
         self._finish(now, job, overloaded=True)
         self.replies.reject_key(now, job, event.reason)
 
     def check_stall(self, now: float, dispatch: int) -> None:
-        """End a long answer that has not moved for too long."""
+        """Abort a streamed answer that has stalled."""
         job = self.running.get(dispatch)
         if job is None:
             return
-        if now - job.last_progress_at < STALL_TIMEOUT_S:
+        if now - job.progress_at < STALL_TIMEOUT_S:
             self.ctx.schedule(
-                job.last_progress_at + STALL_TIMEOUT_S, StallTimer(dispatch=dispatch)
+                job.progress_at + STALL_TIMEOUT_S, StallTimer(dispatch=dispatch)
             )
             return
         self.ctx.emit(effects.CancelTarget(dispatch=dispatch))
@@ -161,7 +160,7 @@
         self._finish(now, job, overloaded=False)
 
     def _start(self, now: float, job: jobs.Job) -> None:
-        """Send the job to the target, for the first and only time."""
+        """Dispatch a job to the target; this happens at most once per job."""
         forward = job.forward
         if forward.once:
             if not self.owner.may_start(now, keys.shard_of(forward.key)):
@@ -173,7 +172,7 @@
         job.dispatch_id = self.ctx.next_number()
         job.run_token = f"{self.ctx.rng.getrandbits(64):016x}"
         self.running[job.dispatch_id] = job
-        self._running_requests[forward.request_id] += 1
+        self._requests[forward.request_id] += 1
         self.correlation.add(
             correlation.Run(
                 token=job.run_token,
@@ -192,8 +191,8 @@
         left = max(0.0, job.deadline - now)
         timeout_s = left
         if forward.once:
-            # The effect can't be taken back, so its answer is waited for longer:
-            # the caller's next sending gets it.
+            # The request can't be undone, so wait longer for its answer: the next
+            # retry of the caller receives it.
             timeout_s += self.ctx.active.bundle.longest_deadline_s
         return effects.DispatchTarget(
             dispatch=job.dispatch_id,
@@ -209,7 +208,7 @@
         )
 
     def _reject_without_lease(self, now: float, job: jobs.Job) -> None:
-        """Reject a job that got its turn after the lease had ended."""
+        """Reject a job that was admitted after the lease had ended."""
         slots = self.target.admission
         decisions = slots.finish(now, service_s=slots.mean_service_s)
         self.replies.reject_key(now, job, messages.Reason.NO_LEASE)
@@ -217,17 +216,15 @@
 
     def _stream(self, now: float, job: jobs.Job) -> None:
         job.state = jobs.JobState.STREAMING
-        job.last_progress_at = now
+        job.progress_at = now
         self.ctx.schedule(now + STALL_TIMEOUT_S, StallTimer(dispatch=job.dispatch_id))
         for _ in range(MAX_PARTS_IN_FLIGHT):
             self.ctx.emit(effects.ReadTarget(dispatch=job.dispatch_id))
 
-    def _reply_uncertain(
-        self, now: float, job: jobs.Job, reason: messages.Reason
-    ) -> None:
-        """Reply that a job may have run and that its answer won't come."""
+    def _lose_answer(self, now: float, job: jobs.Job, reason: messages.Reason) -> None:
+        """Reply that a job may have run and that its answer is lost."""
         self.ctx.emit(effects.CancelTarget(dispatch=job.dispatch_id))
-        # A slow target has as many slots as before; only a broken one has fewer.
+        # A timeout is no sign of lost capacity, so it doesn't lower the limit.
         self._finish(now, job, overloaded=reason is not messages.Reason.NO_ANSWER)
         if job.key_record is None:
             self.replies.reply_uncertain(now, job, reason)
@@ -235,12 +232,12 @@
         self.once.mark_uncertain(now, job.key_record, reason)
 
     def _finish(self, now: float, job: jobs.Job, *, overloaded: bool) -> None:
-        """Free the job's slot at the target; `overloaded` lowers the limit."""
+        """Release the job's slot at the target; `overloaded` lowers the limit."""
         job.state = jobs.JobState.ENDED
         self.running.pop(job.dispatch_id, None)
-        self._running_requests[job.forward.request_id] -= 1
-        if not self._running_requests[job.forward.request_id]:
-            del self._running_requests[job.forward.request_id]
+        self._requests[job.forward.request_id] -= 1
+        if not self._requests[job.forward.request_id]:
+            del self._requests[job.forward.request_id]
         self.replies.jobs.pop(jobs.attempt_id(job), None)
         self.correlation.remove(job.run_token)
         service_s = now - job.started_at
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -1,9 +1,8 @@
-"""The target's side: admits forwarded attempts, in the order of the checks below.
+"""Server side: decides what happens to attempts that daemons forward to the target.
 
-An attempt is rejected for what it is (`Serving._fault`), a key that is known or
-can't be judged is answered by `once`, a route whose nested calls would be shed is
-shed, and `admission` decides on the rest. Owns the jobs that are queued or run;
-`runs` has those that run.
+Checks run in this order: reasons to reject any attempt (`Serving._rejection_reason`),
+the idempotency key (`once`), the admission level that nested calls impose on the route,
+and admission control. Owns all queued and running jobs; `runs` executes them.
 """
 
 from __future__ import annotations
@@ -25,19 +24,19 @@
 from ferrydeck.signed.wire import messages
 
 ATTEMPT_RETENTION_S = 60.0
-"""How long the attempts that were seen or cancelled are remembered, seconds."""
+"""How long ids of received and cancelled attempts are kept, to detect duplicates."""
 EXPIRY_INTERVAL_S = 0.05
-"""How often the queue is searched for jobs that are too late, seconds."""
+"""Time between searches of the queue for jobs past their deadline."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ExpiryTimer:
-    """Time to look for queued jobs that are too late."""
+    """Fires when queued jobs are to be checked for expiry."""
 
 
 @attrs.define(kw_only=True)
 class Serving:
-    """Serves the forwarded calls at the target beside this daemon."""
+    """Serves forwarded attempts with the target beside this daemon."""
 
     ctx: context.Context
     owner: shards.ShardOwner
@@ -48,10 +47,10 @@
     once: once.KeyedJobs = attrs.field(init=False)
     runs: runs.Runs = attrs.field(init=False)
     jobs: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
-    _seen_attempts: recent.RecentSet = attrs.Factory(
+    _seen: recent.RecentSet = attrs.Factory(
         lambda: recent.RecentSet(retention_s=ATTEMPT_RETENTION_S)
     )
-    _cancelled_attempts: recent.RecentSet = attrs.Factory(
+    _cancelled: recent.RecentSet = attrs.Factory(
         lambda: recent.RecentSet(retention_s=ATTEMPT_RETENTION_S)
     )
 
@@ -76,23 +75,23 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no job is queued or running."""
+        """Return whether no job is queued, deferred or running."""
         return not self.jobs and not self.runs.running and not self.once.deferred
 
     def start(self, now: float) -> None:
-        """Begin to look for jobs that are too late."""
+        """Start the periodic check for expired jobs."""
         if self.ctx.identity.service:
             self.ctx.schedule(now + EXPIRY_INTERVAL_S, ExpiryTimer())
 
     def handle_forward(
         self, now: float, sender: jobs.Sender, forward: messages.Forward, delay: float
     ) -> None:
-        """Take an attempt that another daemon, or this one, forwards."""
-        identity = (sender.box, sender.incarnation, forward.attempt)
-        if identity in self._seen_attempts:
+        """Process an attempt that another daemon, or this one, forwarded."""
+        attempt_id = (sender.box, sender.incarnation, forward.attempt)
+        if attempt_id in self._seen:
             self.ctx.count("peer_messages_dropped", "duplicate-attempt")
             return
-        self._seen_attempts.add(now, identity)
+        self._seen.add(now, attempt_id)
         job = jobs.Job(
             sender=sender,
             forward=forward,
@@ -102,14 +101,14 @@
         self._process(now, job)
 
     def handle_cancel(self, now: float, sender: jobs.Sender, attempt: int) -> None:
-        """Take back an attempt: reject it if it has not started."""
-        identity = (sender.box, sender.incarnation, attempt)
-        self._cancelled_attempts.add(now, identity)
-        parked = self.once.deferred.pop(identity, None)
-        if parked is not None:
-            self.replies.reply_uncertain(now, parked, messages.Reason.CANCELLED)
+        """Cancel an attempt, or reject it if it has not started."""
+        attempt_id = (sender.box, sender.incarnation, attempt)
+        self._cancelled.add(now, attempt_id)
+        deferred = self.once.deferred.pop(attempt_id, None)
+        if deferred is not None:
+            self.replies.reply_uncertain(now, deferred, messages.Reason.CANCELLED)
             return
-        job = self.jobs.get(identity)
+        job = self.jobs.get(attempt_id)
         if job is None:
             return
         if job.state is jobs.JobState.QUEUED:
@@ -120,13 +119,13 @@
     def handle_credit(
         self, now: float, sender: jobs.Sender, credit: messages.Credit
     ) -> None:
-        """Read further parts of a long answer, as the caller takes them."""
+        """Read more parts of a streamed answer, as the caller grants credit."""
         job = self.jobs.get((sender.box, sender.incarnation, credit.attempt))
         if job is not None:
             self.runs.read_parts(now, job, credit.parts)
 
     def expire_jobs(self, now: float) -> None:
-        """Reject the queued jobs that are too late, and decide on parked ones."""
+        """Reject queued jobs that expired, and process deferred jobs again."""
         self.ctx.schedule(now + EXPIRY_INTERVAL_S, ExpiryTimer())
         if self.target.admission is not None:
             self.runs.apply_decisions(now, self.target.admission.expire(now))
@@ -137,7 +136,7 @@
             self._process(now, job)
 
     def _process(self, now: float, job: jobs.Job) -> None:
-        """Queue, start, park, reject or answer an attempt."""
+        """Queue, start, defer, reject or answer an attempt."""
         reason = self._rejection_reason(now, job)
         if job.forward.once:
             if self.once.admit(now, job, reason):
@@ -149,8 +148,8 @@
         self._offer(now, job)
 
     def _rejection_reason(self, now: float, job: jobs.Job) -> messages.Reason | None:
-        """Return why an attempt is rejected whatever its kind, or `None`."""
-        if jobs.attempt_id(job) in self._cancelled_attempts:
+        """Return why an attempt is rejected regardless of its key, or `None`."""
+        if jobs.attempt_id(job) in self._cancelled:
             return messages.Reason.CANCELLED
         own = job.forward.service == self.ctx.identity.service
         if self.target.admission is None or not own:
@@ -162,10 +161,10 @@
         return None
 
     def _offer(self, now: float, job: jobs.Job) -> None:
-        """Queue or start a job, or reject it."""
+        """Pass a job to admission control."""
         forward = job.forward
-        sheds = self.ctx.policy.shed_at_caller
-        if sheds and forward.priority > self.target.path_level(now, forward):
+        shed_early = self.ctx.policy.shed_at_caller
+        if shed_early and forward.priority > self.target.path_level(now, forward):
             self.replies.reject_key(now, job, messages.Reason.OVERLOAD)
             return
         self.jobs[jobs.attempt_id(job)] = job
@@ -181,11 +180,11 @@
         self.runs.apply_decisions(now, decisions)
 
     def _cancel_queued(self, now: float, job: jobs.Job) -> None:
-        entry = job.key_record
-        if entry is not None and len(entry.jobs) > 1:
-            self.once.cancel_duplicate(now, job, entry)
+        record = job.key_record
+        if record is not None and len(record.jobs) > 1:
+            self.once.cancel_duplicate(now, job, record)
             return
-        if entry is not None and entry.state is keys.KeyState.RUNNING:
+        if record is not None and record.state is keys.KeyState.RUNNING:
             return
         self.target.admission.remove_queued(job)
         self.replies.reject_key(now, job, messages.Reason.CANCELLED)
--- a/ferrydeck/signed/core/shard_records.py
+++ b/ferrydeck/signed/core/shard_records.py
@@ -75,7 +75,7 @@
         return leases.parse_holder(known.record.holder).box if known else ""
 
     def check_dead(self, now: float, holder: leases.LeaseRecord) -> bool:
-        """Return whether a holder is dead; fence its expired lease first."""
+        """Return whether a holder is dead; write a fence if its lease has expired."""
         stored = self.lease_records.get(holder.box)
         if stored is not None:
             return stored.fence or stored.order > holder.order
--- a/ferrydeck/signed/core/streaming.py
+++ b/ferrydeck/signed/core/streaming.py
@@ -1,7 +1,7 @@
-"""Long answers: passes their parts on, and resumes elsewhere if one breaks off.
+"""Streamed answers: forwards their parts and resumes a broken one at another box.
 
-A resumed answer is a range of the same body, which the entity tag proves. Relies
-on `attempts` for the call's attempt and on `retry_policy` for what a resumption costs.
+To resume, a range of the same body is requested; the entity tag proves it is the
+same. A resumption spends from the retry budget that `retry_policy` manages.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from ferrydeck.signed.wire import messages
 
 STREAM_STALL_TIMEOUT_S = 2.0
-"""Time without a part after which the rest is asked of another box, seconds."""
+"""Time without a part after which the rest is requested from another box."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class StreamStallTimer:
-    """Time to see whether a long answer still moves."""
+    """Fires when a streamed answer may have stalled."""
 
     call: int
 
 
 @attrs.define(kw_only=True)
 class Streaming:
-    """Passes long answers on, whole or not as whole ones."""
+    """Forwards streamed answers and never lets a truncated one look complete."""
 
     ctx: context.Context
     attempts: attempts.Attempts
@@ -43,8 +43,8 @@
     def handle_part(
         self, now: float, envelope: messages.Envelope, message: messages.Part
     ) -> None:
-        """Pass on a further part of a long answer, if it is the next one."""
-        call = self._find_call(envelope, message.attempt)
+        """Forward a part of a streamed answer if it is the next one."""
+        call = self._call_for(envelope, message.attempt)
         if call is None:
             return
         if call.stream.attempt_offset + message.offset != call.stream.offset:
@@ -61,13 +61,13 @@
     def handle_broken(
         self, now: float, envelope: messages.Envelope, message: messages.Broken
     ) -> None:
-        """Go on elsewhere with a long answer that broke off."""
-        call = self._find_call(envelope, message.attempt)
+        """Resume a broken streamed answer at another box."""
+        call = self._call_for(envelope, message.attempt)
         if call is not None:
             self.resume_elsewhere(now, call)
 
     def check_stall(self, now: float, number: int) -> None:
-        """Go on elsewhere with a long answer that has stopped moving."""
+        """Resume a stalled streamed answer at another box."""
         call = self.attempts.by_number.get(number)
         if call is None or call.stream is None:
             return
@@ -78,7 +78,7 @@
         self.resume_elsewhere(now, call)
 
     def start(self, now: float, call: calls.Call, message: messages.Answer) -> None:
-        """Begin to pass a long answer on, after its head and first part."""
+        """Start to forward a streamed answer, after its head and first part."""
         call.stream = calls.Stream(
             status=message.status,
             total=message.total,
@@ -90,9 +90,7 @@
             now + STREAM_STALL_TIMEOUT_S, StreamStallTimer(call=call.number)
         )
 
-    def _find_call(
-        self, envelope: messages.Envelope, attempt: int
-    ) -> calls.Call | None:
+    def _call_for(self, envelope: messages.Envelope, attempt: int) -> calls.Call | None:
         call = self.attempts.by_attempt.get(attempt)
         if call is None or call.stream is None:
             self.ctx.count("late_answers", "part")
@@ -102,14 +100,14 @@
         return call
 
     def resume_elsewhere(self, now: float, call: calls.Call) -> None:
-        """Ask another box for the rest of a long answer, or end the connection."""
+        """Request the rest of an answer from another box, or abort the connection."""
         stream = call.stream
         if call.attempt is not None:
-            # A box that broke off earlier may be asked again: the body has grown.
+            # Boxes that failed earlier may be tried again, since the answer progressed.
             call.tried_boxes = [call.attempt.box]
             self.attempts.cancel(call)
-        again = stream.etag and stream.status == 200 and call.request.method == "GET"
-        if not again or stream.resumed_offset == stream.offset:
+        resume = stream.etag and stream.status == 200 and call.request.method == "GET"
+        if not resume or stream.resumed_offset == stream.offset:
             self._abort(now, call)
             return
         call.deadline = max(call.deadline, now + STREAM_STALL_TIMEOUT_S)
@@ -125,15 +123,17 @@
             return
         self.attempts.start(now, call, chosen.peer)
 
-    def handle_resumed(
-        self, now: float, call: calls.Call, message: messages.Answer
-    ) -> None:
-        """Go on with a long answer from another box, if it is the same body."""
+    def resume(self, now: float, call: calls.Call, message: messages.Answer) -> None:
+        """Continue an answer with a range from another box, if the body is the same."""
         stream = call.stream
-        ranges = headers.get(message.headers, headers.CONTENT_RANGE)
-        wanted = rf"bytes {stream.offset}-{stream.total - 1}/{stream.total}"
+        content_range = headers.get(message.headers, headers.CONTENT_RANGE)
+        expected = rf"bytes {stream.offset}-{stream.total - 1}/{stream.total}"
         same = headers.get(message.headers, headers.ETAG) == stream.etag
-        if message.status != 206 or not same or not re.fullmatch(wanted, ranges):
+        if (
+            message.status != 206
+            or not same
+            or not re.fullmatch(expected, content_range)
+        ):
             self._abort(now, call)
             return
         stream.attempt_offset = stream.offset
@@ -144,7 +144,7 @@
             self.attempts.finish(now, call, effects.Outcome.DONE, "", stream.status)
 
     def _abort(self, now: float, call: calls.Call) -> None:
-        """End the connection of a caller whose long answer can't be completed."""
+        """Abort the connection of a caller whose answer can't be completed."""
         self.ctx.emit(effects.AbortCaller(conn=call.conn))
         self.ctx.count("streams", "aborted")
         if call.attempt is not None:
