--- a/ferrydeck/signed/core/keys.py
+++ b/ferrydeck/signed/core/keys.py
@@ -68,7 +68,7 @@
         lambda: collections.defaultdict(dict)
     )
     count: int = 0
-    _expiry_heap: list[tuple[float, int, str]] = attrs.Factory(list)
+    _expiry: list[tuple[float, int, str]] = attrs.Factory(list)
 
     def find(self, key: str) -> Record | None:
         """Return the record of a key, or `None`."""
@@ -80,7 +80,7 @@
         if record.key not in self.shards[shard]:
             self.count += 1
         self.shards[shard][record.key] = record
-        heapq.heappush(self._expiry_heap, (record.expires_at, shard, record.key))
+        heapq.heappush(self._expiry, (record.expires_at, shard, record.key))
 
     def mark_refused(self, record: Record, now: float, retention_s: float) -> None:
         """Record that the key was reported as not run."""
@@ -88,7 +88,7 @@
         record.refused_at = now
         record.expires_at = now + retention_s
         heapq.heappush(
-            self._expiry_heap, (record.expires_at, shard_of(record.key), record.key)
+            self._expiry, (record.expires_at, shard_of(record.key), record.key)
         )
 
     def has_in_flight(self, shard: int) -> bool:
@@ -97,8 +97,8 @@
 
     def expire(self, now: float) -> None:
         """Remove expired keys."""
-        while self._expiry_heap and self._expiry_heap[0][0] <= now:
-            _, shard, key = heapq.heappop(self._expiry_heap)
+        while self._expiry and self._expiry[0][0] <= now:
+            _, shard, key = heapq.heappop(self._expiry)
             record = self.shards[shard].get(key)
             if record is None or record.expires_at > now or record.in_flight:
                 continue
