--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -1,6 +1,6 @@
 """Execution of jobs at the target beside this daemon, from dispatch to full answer.
 
-`admission` decides which job starts next, `once` tracks the keys of requests that
+`admission` decides which job starts next, `idempotency` tracks the keys of requests that
 must not run twice, and `correlation` maps the tokens of nested calls to running jobs.
 """
 
@@ -17,10 +17,10 @@
     effects,
     events,
     headers,
+    idempotency,
     jobs,
     keys,
     local_target,
-    once,
     replies,
     retry_limits,
     shards,
@@ -51,7 +51,7 @@
     correlation: correlation.Correlation
     target: local_target.LocalTarget
     replies: replies.ReplySender
-    once: once.KeyedJobs
+    keyed_jobs: idempotency.KeyedJobs
     running: dict[int, jobs.Job] = attrs.Factory(dict)
     """The running jobs by dispatch id."""
     _requests: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -111,7 +111,7 @@
             load=self.target.load(now, job.forward),
         )
         if job.key_record is not None:
-            self.once.store_answer(job.key_record, answer)
+            self.keyed_jobs.store_answer(job.key_record, answer)
         self.replies.send(job, answer)
         if streamed:
             self._stream(now, job)
@@ -229,7 +229,7 @@
         if job.key_record is None:
             self.replies.reply_uncertain(now, job, reason)
             return
-        self.once.mark_uncertain(now, job.key_record, reason)
+        self.keyed_jobs.mark_uncertain(now, job.key_record, reason)
 
     def _finish(self, now: float, job: jobs.Job, *, overloaded: bool) -> None:
         """Release the job's slot at the target; `overloaded` lowers the limit."""
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -1,8 +1,8 @@
 """Server side: decides what happens to attempts that daemons forward to the target.
 
 Checks run in this order: reasons to reject any attempt (`Serving._rejection_reason`),
-the idempotency key (`once`), the admission level that nested calls impose on the route,
-and admission control. Owns all queued and running jobs; `runs` executes them.
+the idempotency key, the admission level that nested calls impose on the route, and
+admission control. Owns all queued and running jobs; `runs` executes them.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from ferrydeck.signed.core import (
     context,
     correlation,
+    idempotency,
     jobs,
     keys,
     local_target,
-    once,
-    recent,
+    recent_set,
     replies,
     runs,
     shards,
@@ -44,14 +44,14 @@
     correlation: correlation.Correlation
     target: local_target.LocalTarget = attrs.field(init=False)
     replies: replies.ReplySender = attrs.field(init=False)
-    once: once.KeyedJobs = attrs.field(init=False)
+    keyed_jobs: idempotency.KeyedJobs = attrs.field(init=False)
     runs: runs.Runs = attrs.field(init=False)
     jobs: dict[tuple[str, int, int], jobs.Job] = attrs.Factory(dict)
-    _seen: recent.RecentSet = attrs.Factory(
-        lambda: recent.RecentSet(retention_s=ATTEMPT_RETENTION_S)
+    _seen: recent_set.RecentSet = attrs.Factory(
+        lambda: recent_set.RecentSet(retention_s=ATTEMPT_RETENTION_S)
     )
-    _cancelled: recent.RecentSet = attrs.Factory(
-        lambda: recent.RecentSet(retention_s=ATTEMPT_RETENTION_S)
+    _cancelled: recent_set.RecentSet = attrs.Factory(
+        lambda: recent_set.RecentSet(retention_s=ATTEMPT_RETENTION_S)
     )
 
     def __attrs_post_init__(self) -> None:
@@ -61,7 +61,7 @@
         self.replies = replies.ReplySender(
             ctx=self.ctx, target=self.target, key_table=self.table, jobs=self.jobs
         )
-        self.once = once.KeyedJobs(
+        self.keyed_jobs = idempotency.KeyedJobs(
             ctx=self.ctx, replies=self.replies, owner=self.owner, table=self.table
         )
         self.runs = runs.Runs(
@@ -70,13 +70,13 @@
             correlation=self.correlation,
             target=self.target,
             replies=self.replies,
-            once=self.once,
+            keyed_jobs=self.keyed_jobs,
         )
 
     @property
     def idle(self) -> bool:
         """Return whether no job is queued, deferred or running."""
-        return not self.jobs and not self.runs.running and not self.once.deferred
+        return not self.jobs and not self.runs.running and not self.keyed_jobs.deferred
 
     def start(self, now: float) -> None:
         """Start the periodic check for expired jobs."""
@@ -104,7 +104,7 @@
         """Cancel an attempt, or reject it if it has not started."""
         attempt_id = (sender.box, sender.incarnation, attempt)
         self._cancelled.add(now, attempt_id)
-        deferred = self.once.deferred.pop(attempt_id, None)
+        deferred = self.keyed_jobs.deferred.pop(attempt_id, None)
         if deferred is not None:
             self.replies.reply_uncertain(now, deferred, messages.Reason.CANCELLED)
             return
@@ -129,7 +129,7 @@
         self.ctx.schedule(now + EXPIRY_INTERVAL_S, ExpiryTimer())
         if self.target.admission is not None:
             self.runs.apply_decisions(now, self.target.admission.expire(now))
-        for job in self.once.take_deferred():
+        for job in self.keyed_jobs.take_deferred():
             if now >= job.deadline:
                 self.replies.reply_uncertain(now, job, messages.Reason.MOVING)
                 continue
@@ -139,7 +139,7 @@
         """Queue, start, defer, reject or answer an attempt."""
         reason = self._rejection_reason(now, job)
         if job.forward.once:
-            if self.once.admit(now, job, reason):
+            if self.keyed_jobs.admit(now, job, reason):
                 self._offer(now, job)
             return
         if reason is not None:
@@ -182,7 +182,7 @@
     def _cancel_queued(self, now: float, job: jobs.Job) -> None:
         record = job.key_record
         if record is not None and len(record.jobs) > 1:
-            self.once.cancel_duplicate(now, job, record)
+            self.keyed_jobs.cancel_duplicate(now, job, record)
             return
         if record is not None and record.state is keys.KeyState.RUNNING:
             return
