--- a/ferrydeck/signed/core/__init__.py
+++ b/ferrydeck/signed/core/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: time, random numbers and messages are arguments."""
+"""The decision logic, without I/O: time, randomness and messages are arguments."""
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -1,8 +1,4 @@
-"""The core of one daemon: takes an event, returns the effects that follow.
-
-Owns the parts of the core and passes each event, message and timer to the part
-that decides on it. Relies on its driver for the time, the network and the target.
-"""
+"""The sans-I/O core of a daemon: dispatches events to its parts, returns effects."""
 
 from __future__ import annotations
 
@@ -35,27 +31,27 @@
 from ferrydeck.signed.wire import codec, messages
 
 MIN_PAUSE_S = 0.25
-"""A gap between two events from which on the process counts as paused, seconds."""
+"""Gap between two events from which the process counts as having been paused."""
 PAUSE_EFFECT_S = 0.1
-"""How long after a pause messages may have waited for all of it, seconds."""
+"""Time after a pause during which messages are assumed to be delayed by it."""
 HEARTBEAT_INTERVAL_S = 0.1
-"""The longest time between two events while the process is not paused, seconds."""
+"""Interval of the timer that keeps events coming, so that pauses are detected."""
 LEAVE_CHECK_INTERVAL_S = 0.05
 
 
 @attrs.define(kw_only=True, frozen=True)
 class HeartbeatTimer:
-    """Keeps events coming, so that a pause shows."""
+    """Fires regularly, so that a pause shows as a gap between events."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class LeaveTimer:
-    """Time to see whether a leaving box has ended its work."""
+    """The next check whether a leaving box has finished its work."""
 
 
 @attrs.define(kw_only=True)
 class Core:
-    """All decisions of one daemon; it reads no clock and does no input or output."""
+    """The decisions of one daemon; it reads no clock and performs no I/O."""
 
     identity: context.Identity
     rng: random.Random
@@ -79,7 +75,7 @@
     def __attrs_post_init__(self) -> None:
         ctx = context.Context(identity=self.identity, rng=self.rng, policy=self.policy)
         table = keys.KeyTable()
-        known = correlation.Correlation()
+        runs_by_token = correlation.Correlation()
         self.ctx = ctx
         self.members = membership.Membership(ctx=ctx, seeds=self.seeds)
         self.router = routing.Router(ctx=ctx, members=self.members)
@@ -88,12 +84,12 @@
             ctx=ctx,
             owner=self.shard_owner,
             table=table,
-            correlation=known,
+            correlation=runs_by_token,
         )
         self.forwarder = forwarding.Forwarder(
             ctx=ctx,
             router=self.router,
-            intake=intake.Intake(ctx=ctx, correlation=known),
+            intake=intake.Intake(ctx=ctx, correlation=runs_by_token),
         )
         self.rollout = rollout.Rollout(
             ctx=ctx,
@@ -103,7 +99,7 @@
         )
 
     def start(self, now: float) -> list[effects.Effect]:
-        """Return the effects that a start brings."""
+        """Start all parts and return the resulting effects."""
         self._last_event = now
         self.members.start(now)
         self.rollout.start(now)
@@ -113,13 +109,13 @@
         return self._run_due_timers(now)
 
     def activate(self, now: float, verified: signing.Verified) -> list[effects.Effect]:
-        """Put a verified bundle in force, where none comes by the platform."""
+        """Activate a verified bundle without the platform."""
         self.ctx.active = context.make_active_bundle(verified)
         self.rollout.bundle_changed = True
         return self._run_due_timers(now)
 
     def handle(self, now: float, event: events.Event) -> list[effects.Effect]:
-        """Return the effects that an event brings, and those of due timers."""
+        """Handle an event and all due timers, and return the resulting effects."""
         self._detect_pause(now)
         self._on_event(now, event)
         return self._run_due_timers(now)
@@ -130,15 +126,15 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether this daemon can serve: it has a bundle and isn't leaving."""
+        """Whether this daemon has an active bundle and isn't leaving."""
         return self.ctx.active is not None and not self.ctx.leaving
 
     def _detect_pause(self, now: float) -> None:
-        """Note that the process stood still, so messages are older than they seem."""
-        gap = now - self._last_event
+        """Record a pause of the process, during which messages were delayed."""
+        gap_s = now - self._last_event
         self._last_event = now
-        if gap > MIN_PAUSE_S:
-            self._pause_s = gap
+        if gap_s > MIN_PAUSE_S:
+            self._pause_s = gap_s
             self._pause_effect_until = now + PAUSE_EFFECT_S
             self.ctx.count("pauses", "loop")
 
@@ -147,11 +143,11 @@
         while (timer := self.ctx.pop_due_timer(now)) is not None:
             self._on_timer(now, timer)
             self._process_pending(now)
-        out, self.ctx.pending_effects = self.ctx.pending_effects, []
-        return out
+        pending, self.ctx.pending_effects = self.ctx.pending_effects, []
+        return pending
 
     def _process_pending(self, now: float) -> None:
-        """Work off the messages to itself and a bundle that came in force."""
+        """Apply a newly activated bundle and handle messages to itself."""
         if self.rollout.bundle_changed:
             self.rollout.bundle_changed = False
             self.serving.target.apply_bundle(now)
@@ -191,20 +187,20 @@
 
     def _on_peer(self, now: float, received: codec.Received) -> None:
         envelope = received.envelope
-        delay = self.members.message_received(now, envelope)
+        delay_s = self.members.message_received(now, envelope)
         if now < self._pause_effect_until:
-            delay = max(delay, self._pause_s)
+            delay_s = max(delay_s, self._pause_s)
         self.router.message_received(now, envelope.box)
         self.rollout.message_received(now, envelope)
         if envelope.receiver not in (0, self.identity.incarnation):
             self._refuse_misaddressed(envelope, received.message)
             return
-        self._on_message(now, envelope, received.message, delay)
+        self._on_message(now, envelope, received.message, delay_s)
 
     def _refuse_misaddressed(
         self, envelope: messages.Envelope, message: messages.Message
     ) -> None:
-        """Refuse what was meant for an earlier process of this box."""
+        """Drop a message to an earlier incarnation; refuse it if it is an attempt."""
         self.ctx.count("peer_messages_dropped", "incarnation")
         if not isinstance(message, messages.Forward):
             return
@@ -222,11 +218,13 @@
         now: float,
         envelope: messages.Envelope,
         message: messages.Message,
-        delay: float = 0.0,
+        delay_s: float = 0.0,
     ) -> None:
         match message:
             case messages.Forward():
-                self.serving.handle_forward(now, sender_from(envelope), message, delay)
+                self.serving.handle_forward(
+                    now, sender_from(envelope), message, delay_s
+                )
             case messages.Answer():
                 self.forwarder.handle_answer(now, envelope, message)
             case messages.Refused():
@@ -308,7 +306,7 @@
                 self._stop_if_idle(now)
 
     def _leave(self, now: float, event: events.StopAsked) -> None:
-        """Announce it to all peers, take no new work, and end when all is done."""
+        """Start leaving: announce it to all peers and wait for the work to finish."""
         self._stop_when_idle |= event.end
         if not self.ctx.leaving:
             self.ctx.leaving = True
@@ -319,19 +317,17 @@
         self.ctx.schedule(now + LEAVE_CHECK_INTERVAL_S, LeaveTimer())
 
     def _stop_if_idle(self, now: float) -> None:
-        done = (
+        idle = (
             self.forwarder.idle
             and self.serving.idle
             and self.shard_owner.can_leave(now)
         )
-        if not done:
+        if not idle:
             self.ctx.schedule(now + LEAVE_CHECK_INTERVAL_S, LeaveTimer())
             return
         if self._stop_when_idle and not self._stopped:
             self._stopped = True
-            self.ctx.audit(
-                "left", "nothing in flight, no shard that another could take"
-            )
+            self.ctx.audit("left", "no requests in flight, no shards left to hand over")
             self.ctx.emit(effects.Ended())
 
     def _own_envelope(self, now: float) -> messages.Envelope:
@@ -350,7 +346,7 @@
 
 
 def sender_from(envelope: messages.Envelope) -> jobs.Sender:
-    """Return the daemon that sent a message."""
+    """Return the sender of a message from its envelope."""
     return jobs.Sender(
         box=envelope.box, incarnation=envelope.incarnation, address=envelope.address
     )
--- a/ferrydeck/signed/core/effects.py
+++ b/ferrydeck/signed/core/effects.py
@@ -1,4 +1,4 @@
-"""What the core asks for: everything that leaves it."""
+"""The effects that the core requests from its driver."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class AnswerCaller:
-    """Send the caller its answer; more parts follow where `total` is longer."""
+    """Send the caller its answer; more parts follow if `total` exceeds `body`."""
 
     conn: int
     status: int
@@ -31,7 +31,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class PassPart:
-    """Send the caller a further part of its answer."""
+    """Send the caller a further part of a streamed body."""
 
     conn: int
     data: bytes
@@ -39,7 +39,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class AbortCaller:
-    """End the caller's connection: its answer can't be completed."""
+    """Close the caller's connection because its answer can't be completed."""
 
     conn: int
 
@@ -56,14 +56,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ForgetPeer:
-    """Close what is open towards a box."""
+    """Close the connections to a box."""
 
     box: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class DispatchTarget:
-    """Send a request to the target beside this daemon."""
+    """Send a request to the local target."""
 
     dispatch: int
     method: str
@@ -75,14 +75,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ReadTarget:
-    """Read a further part of the target's long answer."""
+    """Read a further part of a streamed body from the target."""
 
     dispatch: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class CancelTarget:
-    """Stop a dispatch; its answer is of no use any more."""
+    """Cancel a dispatch whose answer is no longer needed."""
 
     dispatch: int
 
@@ -96,7 +96,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class CallFinished:
-    """A caller was answered: for metrics and for the replay."""
+    """A call was finished; reported to metrics and replays."""
 
     conn: int
     class_name: str
@@ -109,7 +109,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Count:
-    """Add one to a counter."""
+    """Increment a counter."""
 
     name: str
     label: str
@@ -117,7 +117,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Audit:
-    """A change of state, for the log and the audit trail."""
+    """A state change for the log and the audit trail."""
 
     action: str
     detail: str
@@ -125,7 +125,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Ended:
-    """Nothing is left in flight and all shards are handed over: the end."""
+    """The box has left: no work is in flight and all shards are handed over."""
 
 
 Effect = (
--- a/ferrydeck/signed/core/events.py
+++ b/ferrydeck/signed/core/events.py
@@ -1,4 +1,4 @@
-"""What happens to the core: everything that its driver passes in."""
+"""The events that the driver passes to the core."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class CallReceived:
-    """A whole request came in on a caller's connection."""
+    """A complete request was received from a caller."""
 
     conn: int
     local: bool
-    """Whether it came from a service on this box, not from outside."""
+    """Whether it came from a service on this box."""
     method: str
     path: str
-    """The path with its query, as it was sent."""
+    """The path as received, including the query."""
     headers: tuple[messages.Header, ...]
     body: bytes
 
 
 @attrs.define(kw_only=True, frozen=True)
 class CallerGone:
-    """The connection of a caller ended before its answer was out."""
+    """A caller disconnected before its answer was sent."""
 
     conn: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class PartPassed:
-    """A part of a long body went out to the caller."""
+    """A part of a streamed body was sent to the caller."""
 
     conn: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class PeerReceived:
-    """A message of another daemon came in."""
+    """A message from another daemon was received."""
 
     received: codec.Received
 
 
 @attrs.define(kw_only=True, frozen=True)
 class PeerBlocked:
-    """A message was not sent: the connection to the box takes no more."""
+    """A message was not sent because the send buffer for the box is full."""
 
     box: str
     message: messages.Message
@@ -53,14 +53,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class PeerLost:
-    """The connection for calls to an address ended; what was sent may have arrived."""
+    """The call connection to an address was lost; sent messages may have arrived."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetHead:
-    """The target's answer began; `body` is all of it or its first part."""
+    """The head of the target's answer, with the whole body or its first part."""
 
     dispatch: int
     status: int
@@ -71,7 +71,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetPart:
-    """A further part of the target's long answer."""
+    """A further part of a streamed body from the target."""
 
     dispatch: int
     data: bytes
@@ -79,7 +79,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetFailed:
-    """The target gave no whole answer."""
+    """The target returned no complete answer."""
 
     dispatch: int
     sent: bool
@@ -89,7 +89,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class PlatformAnswered:
-    """The platform's service answered, or did not."""
+    """A request to the platform's service succeeded or failed."""
 
     request: platform.Request
     result: platform.Result
@@ -97,12 +97,12 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Wake:
-    """A time that the core asked for has come."""
+    """The time of the core's next timer has come."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class StopAsked:
-    """The box is to leave; with `end` the process ends when all is done."""
+    """The box shall leave; with `end` the process exits once its work is finished."""
 
     end: bool
     reason: str
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,6 +1,6 @@
-"""Whole sessions of several cores as text: time, box, event, effects.
+"""Snapshots of simulated sessions: the events and effects of several cores as text.
 
-`make golden` renews the files; the difference is to be reviewed like code.
+`make golden` updates the snapshots; review their diff like code.
 """
 
 from __future__ import annotations
@@ -39,23 +39,23 @@
     effects.Audit,
     effects.Ended,
 )
-NOT_SHOWN = {"load", "fingerprint", "caller"}
+OMITTED_FIELDS = {"load", "fingerprint", "caller"}
 
 
 class Session:
-    """Writes down what happens on the call path of a world."""
+    """Records the call events and effects of a simulated world."""
 
-    def __init__(self, made: world.World) -> None:
-        self.made = made
+    def __init__(self, sim: world.World) -> None:
+        self.sim = sim
         self.lines: list[str] = []
-        made.observer = self.note
+        sim.observer = self.record
 
-    def note(self, box, event, asked):
-        shown = [one for one in map(show_effect, asked) if one]
-        told = show_event(event)
-        if not told and not shown:
+    def record(self, box, event, requested):
+        shown = [line for line in map(format_effect, requested) if line]
+        event_text = format_event(event)
+        if not event_text and not shown:
             return
-        self.lines.append(f"{self.made.env.now:.4f} {box}: {told or 'a timer'}")
+        self.lines.append(f"{self.sim.env.now:.4f} {box}: {event_text or 'a timer'}")
         self.lines += [f"    -> {line}" for line in shown]
 
     @property
@@ -63,140 +63,140 @@
         return "\n".join(self.lines) + "\n"
 
 
-def show_event(event) -> str:
+def format_event(event) -> str:
     match event:
         case events.PeerReceived(received=received):
             message = received.message
             if isinstance(message, CALL_MESSAGES):
-                return f"from {received.envelope.box}: {show(message)}"
+                return f"from {received.envelope.box}: {format_object(message)}"
         case _ if isinstance(event, CALL_EVENTS):
-            return show(event)
+            return format_object(event)
     return ""
 
 
-def show_effect(effect) -> str:
+def format_effect(effect) -> str:
     match effect:
         case effects.SendPeer(box=box, message=message):
             if isinstance(message, CALL_MESSAGES):
-                return f"to {box}: {show(message)}"
+                return f"to {box}: {format_object(message)}"
         case _ if isinstance(effect, CALL_EFFECTS):
-            return show(effect)
+            return format_object(effect)
     return ""
 
 
-def show(thing) -> str:
-    """Return a class and the fields that are not empty, one line."""
+def format_object(obj) -> str:
+    """Return a class name and its non-empty fields on one line."""
     shown = []
-    for field in attrs.fields(type(thing)):
-        value = getattr(thing, field.name)
-        if value in ("", 0, (), b"", False) or field.name in NOT_SHOWN:
+    for field in attrs.fields(type(obj)):
+        value = getattr(obj, field.name)
+        if value in ("", 0, (), b"", False) or field.name in OMITTED_FIELDS:
             continue
-        shown.append(f"{field.name}={show_value(value)}")
-    return f"{type(thing).__name__}({', '.join(shown)})"
+        shown.append(f"{field.name}={format_value(value)}")
+    return f"{type(obj).__name__}({', '.join(shown)})"
 
 
-def show_value(value) -> str:
+def format_value(value) -> str:
     if isinstance(value, float):
         return f"{value:.1f}"
     if isinstance(value, tuple):
-        return f"[{', '.join(map(show_value, value))}]"
+        return f"[{', '.join(map(format_value, value))}]"
     if isinstance(value, messages.Header):
         return f"{value.name}: {value.value}"
     if attrs.has(type(value)):
-        return show(value)
+        return format_object(value)
     return str(value)
 
 
 @pytest.fixture
 def golden(snapshot):
-    return snapshot.use_extension(TextFile)
+    return snapshot.use_extension(TextSnapshot)
 
 
-class TextFile(single_file.SingleFileSnapshotExtension):
+class TextSnapshot(single_file.SingleFileSnapshotExtension):
     _write_mode = single_file.WriteMode.TEXT
     file_extension = "txt"
 
 
-def ledger():
-    made = worlds.ledger_world()
-    made.run(1)
-    return made, Session(made)
+def ledger_session():
+    sim = worlds.ledger_world()
+    sim.run(1)
+    return sim, Session(sim)
 
 
-def key_of(made, name):
-    owned = made.boxes[name].core.shard_owner.owned
-    found = (f"key-{number}" for number in range(1000))
-    return next(key for key in found if keys.shard_of(key) in owned)
+def key_owned_by(sim, name):
+    owned = sim.boxes[name].core.shard_owner.owned
+    candidates = (f"key-{number}" for number in range(1000))
+    return next(key for key in candidates if keys.shard_of(key) in owned)
 
 
-def posting(made, entry, key, ms=5):
-    path = f"{worlds.POSTING}?ms={ms}"
-    made.call(entry, "POST", path, key=key, body=b"12.50")
+def send_posting(sim, entry, key, service_ms=5):
+    path = f"{worlds.POSTING}?ms={service_ms}"
+    sim.call(entry, "POST", path, key=key, body=b"12.50")
 
 
 def test_a_lookup_is_served(golden):
-    made, session = ledger()
-    made.call("north-entry", "GET", "/payments-ledger/balances/7?ms=5")
-    made.run(0.1)
+    sim, session = ledger_session()
+    sim.call("north-entry", "GET", "/payments-ledger/balances/7?ms=5")
+    sim.run(0.1)
     assert session.text == golden
 
 
 def test_a_posting_is_sent_twice_and_runs_once(golden):
-    made, session = ledger()
-    key = key_of(made, "south-ledger")
-    posting(made, "north-entry", key)
-    made.run(0.1)
-    posting(made, "south-entry", key)
-    made.run(0.1)
+    sim, session = ledger_session()
+    key = key_owned_by(sim, "south-ledger")
+    send_posting(sim, "north-entry", key)
+    sim.run(0.1)
+    send_posting(sim, "south-entry", key)
+    sim.run(0.1)
     assert session.text == golden
-    assert len(made.effects()) == 1
+    assert len(sim.effects()) == 1
 
 
 def test_a_posting_whose_owner_dies_is_unknown_until_the_quarantine_ends(golden):
-    made, session = ledger()
-    key = key_of(made, "south-ledger")
-    posting(made, "north-entry", key, ms=400)
-    made.run(0.1)
-    made.kill("south-ledger")
-    made.run(3)
+    sim, session = ledger_session()
+    key = key_owned_by(sim, "south-ledger")
+    send_posting(sim, "north-entry", key, service_ms=400)
+    sim.run(0.1)
+    sim.kill("south-ledger")
+    sim.run(3)
     session.lines.append("(the successor has taken the shards over)")
-    posting(made, "north-entry", key)
-    made.run(0.1)
-    lines = [one for one in session.lines if "shard-owned" not in one]
+    send_posting(sim, "north-entry", key)
+    sim.run(0.1)
+    lines = [line for line in session.lines if "shard-owned" not in line]
     assert "\n".join(lines) == golden
 
 
 def test_a_call_that_runs_late_is_cancelled_and_unknown(golden):
-    made, session = ledger()
+    sim, session = ledger_session()
     path = "/payments-ledger/balances/7?ms=500"
-    made.call("north-entry", "GET", path, deadline_ms=100)
-    made.run(1)
+    sim.call("north-entry", "GET", path, deadline_ms=100)
+    sim.run(1)
     assert session.text == golden
 
 
 def test_calls_over_the_limit_wait_or_are_refused(golden):
-    made, session = ledger()
-    made.boxes["south-ledger"].core.serving.target.admission.mean_service_s = 0.05
-    made.stop("south-ledger")
-    made.run(1)
+    sim, session = ledger_session()
+    sim.boxes["south-ledger"].core.serving.target.admission.mean_service_s = 0.05
+    sim.stop("south-ledger")
+    sim.run(1)
     session.lines.clear()
-    made.boxes["north-ledger"].core.serving.target.admission.mean_service_s = 0.05
+    sim.boxes["north-ledger"].core.serving.target.admission.mean_service_s = 0.05
     for number in range(7):
         path = f"/payments-ledger/balances/{number}?ms=50"
-        made.call("north-entry", "GET", path, deadline_ms=80)
-    made.run(0.5)
+        sim.call("north-entry", "GET", path, deadline_ms=80)
+    sim.run(0.5)
     assert session.text == golden
 
 
 def test_a_box_stops_as_planned_and_hands_its_shards_over(golden):
-    made, session = ledger()
-    key = key_of(made, "south-ledger")
-    posting(made, "north-entry", key, ms=50)
-    made.run(0.01)
-    made.stop("south-ledger")
-    made.run(1)
+    sim, session = ledger_session()
+    key = key_owned_by(sim, "south-ledger")
+    send_posting(sim, "north-entry", key, service_ms=50)
+    sim.run(0.01)
+    sim.stop("south-ledger")
+    sim.run(1)
     shard = keys.shard_of(key)
-    wanted = (f"/{shard} ", f"shard={shard}", "Leav", "leav", "Ended", "Stop", "key-")
-    lines = [one for one in session.lines if any(mark in one for mark in wanted)]
+    markers = (f"/{shard} ", f"shard={shard}", "Leav", "leav", "Ended", "Stop", "key-")
+    lines = [line for line in session.lines if any(mark in line for mark in markers)]
     assert "\n".join(lines) == golden
-    assert made.boxes["south-ledger"].ended
+    assert sim.boxes["south-ledger"].ended
