--- a/ferrydeck/commands/replay.py
+++ b/ferrydeck/commands/replay.py
@@ -21,9 +21,7 @@
     """Declare the arguments."""
     parser.add_argument("case", help="a case in TOML; it names its trace")
     parser.add_argument("--bundle", required=True, help="the bundle in force")
-    parser.add_argument(
-        "--policy", default="full", choices=sorted(policies.POLICIES_BY_NAME)
-    )
+    parser.add_argument("--policy", default="full", choices=sorted(policies.BY_NAME))
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
         "--scale", type=int, default=1, help="slots and calls times this number"
@@ -32,7 +30,7 @@
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
     """Replay the case; show goodput, wasted work, attempts and recovery."""
-    policy = policies.POLICIES_BY_NAME[args.policy]
+    policy = policies.BY_NAME[args.policy]
     result = replay(args.case, args.bundle, policy, args.seed, args.scale)
     return outcomes.Done(text=describe(result), data=attrs.asdict(result))
 
--- a/ferrydeck/signed/core/ownership.py
+++ b/ferrydeck/signed/core/ownership.py
@@ -45,9 +45,7 @@
     retry_after_s: float
 
 
-MOVING = KnownKeys(
-    reason=messages.Reason.MOVING, retry_after_s=retry_after.SHARD_MOVING_S
-)
+MOVING = KnownKeys(reason=messages.Reason.MOVING, retry_after_s=retry_after.MOVING_S)
 """Result while the shard is being handed over to or from another box."""
 
 
--- a/ferrydeck/signed/core/policies.py
+++ b/ferrydeck/signed/core/policies.py
@@ -59,7 +59,7 @@
     limit_retry_ratio=False,
 )
 
-POLICIES_BY_NAME = {
+BY_NAME = {
     "baseline": BASELINE,
     "limit": attrs.evolve(BASELINE, limited=True),
     "order": attrs.evolve(BASELINE, limited=True, prioritised=True),
--- a/ferrydeck/signed/core/retry_after.py
+++ b/ferrydeck/signed/core/retry_after.py
@@ -12,5 +12,5 @@
 """The target's daemon rejected the attempt or was restarted."""
 OUTCOME_UNKNOWN_S = 1.0
 """The target's daemon doesn't know whether the request has run."""
-SHARD_MOVING_S = 0.1
+MOVING_S = 0.1
 """The shard of the key is moving to another owner, which takes milliseconds."""
--- a/ferrydeck/signed/core/retry_limits.py
+++ b/ferrydeck/signed/core/retry_limits.py
@@ -28,7 +28,7 @@
         return share
 
     def refund(self, unused: int) -> None:
-        """Return the part of a share that was not used."""
+        """Add back the unused part of a share."""
         self.remaining += max(0, unused)
 
     def try_spend(self) -> bool:
--- a/tests/traces/test_replay.py
+++ b/tests/traces/test_replay.py
@@ -16,7 +16,7 @@
 def played(name, policy="full", seed=1):
     bundle = str(FOLDER / "bundle.toml")
     path = str(FOLDER / f"{name}.toml")
-    return replay.replay(path, bundle, policies.POLICIES_BY_NAME[policy], seed)
+    return replay.replay(path, bundle, policies.BY_NAME[policy], seed)
 
 
 @pytest.mark.parametrize("name", sorted(STATED))
