--- a/ferrydeck/mesh/inbound/crash_handling.py
+++ b/ferrydeck/mesh/inbound/crash_handling.py
@@ -96,7 +96,7 @@
         for req in self.suspects.running_suspects(now, changed, self.runs.by_dispatch):
             if req.forward.retryable and not req.streaming:
                 self.ctx.emit(effects.CancelDispatch(dispatch=req.dispatch))
-                self.suspects.run_stopped(now, req)
+                self.suspects.run_cancelled(now, req)
                 self.results.end_unanswered(now, req, messages.Reason.SUSPECT)
         for req in self.suspects.isolation.blocked_requests():
             self.queue.reject_suspect(now, req, messages.Reason.BLOCKED)
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -242,7 +242,7 @@
         suspect = self._find_suspect(req.received, req.team)
         if suspect is not None and suspect.blocked:
             step = retrying.end_unanswered(req.progress(now), messages.Reason.BLOCKED)
-            self._apply(now, req, step, suspect.left_s(now))
+            self._apply(now, req, step, suspect.remaining_s(now))
             return
         match self._pick(now, req, suspect):
             case balancing.NoTarget():
@@ -388,7 +388,7 @@
             request,
             replies.SERVICE_UNAVAILABLE,
             messages.Reason.BLOCKED,
-            suspect.left_s(now),
+            suspect.remaining_s(now),
             digest=suspect.fingerprint.hex(),
             ends=sorted(suspect.crashes),
             age_s=round(now - suspect.last_crash_at, 3),
--- a/ferrydeck/mesh/poison/__init__.py
+++ b/ferrydeck/mesh/poison/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash targets: crashes are attributed, suspects isolated or blocked."""
+"""Detects requests that crash targets, and isolates or blocks them."""
--- a/ferrydeck/mesh/poison/crash_detection.py
+++ b/ferrydeck/mesh/poison/crash_detection.py
@@ -1,11 +1,10 @@
-"""Tells a crash of the target from single answers that were lost.
+"""Distinguishes a crash of the target from the loss of single connections.
 
-A target that crashes loses all its connections within a moment; an answer that is lost,
-or a connection that is reset, mostly leaves others that go on. One health check as the
-first answer is lost shows it at once: a crashed target takes no connection.
+A crashed target loses all its connections almost at once and refuses new ones. When the
+first run is lost, a health check is sent; the lost runs are held until there is a
+verdict.
 
-Owns the runs that were lost and wait for a verdict. Relies on `crash_handling` to send
-the health checks and to act on the verdict.
+`crash_handling` sends the health checks and acts on the verdict.
 """
 
 from __future__ import annotations
@@ -18,100 +17,99 @@
 from ferrydeck.mesh.inbound import inbound_request
 
 SETTLE_TIME_S = 0.005
-"""Pause after a lost run until there is a verdict, seconds: a daemon reads the closing
-of 150 connections in turn, each some tenths of a millisecond after another."""
-SETTLE_MOST_S = 0.05
-"""The longest time from the first lost run until then, seconds."""
-CONFIRM_S = 0.1
-"""How long the answer to the health check is waited for, seconds: the target is on the
-same box, and for one that has crashed the kernel refuses the connection."""
+"""Wait for further losses after each lost run, seconds. Connections that close together
+are read some tenths of a millisecond apart."""
+MAX_SETTLE_S = 0.05
+"""Maximum wait for further losses after the first lost run, seconds."""
+HEALTH_CHECK_TIMEOUT_S = 0.1
+"""Timeout of the health check, seconds. The target is on the same box, and the kernel
+refuses connections to one that has crashed."""
 
 
 class Verdict(enum.Enum):
-    """What the losses of a moment show."""
+    """Cause of the losses seen so far."""
 
     UNDECIDED = "undecided"
-    """More may be lost in this moment."""
+    """More runs may still be lost."""
     SINGLE = "single"
-    """The target goes on."""
+    """Single connections were lost; the target is still up."""
     ALL_LOST = "all lost"
-    """All runs were lost; the health check will show whether the target crashed."""
+    """All runs were lost; the health check has not returned yet."""
     CRASHED = "crashed"
-    """The target takes no connection."""
+    """The target refuses connections."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class VerdictTimer:
-    """Time for a verdict."""
+    """Fires when a verdict may be possible."""
 
 
 @attrs.define(kw_only=True)
 class CrashDetector:
-    """Runs that were lost at a target within a moment."""
+    """Collects lost runs and decides whether the target crashed."""
 
     lost: list[inbound_request.InboundRequest] = attrs.Factory(list)
-    refused: bool = False
+    connection_refused: bool = False
     """Whether the target has refused a connection since the first run was lost."""
-    answered: bool = False
-    """Whether it has answered a health check since then, well or not."""
-    _ran: set[int] = attrs.Factory(set)
-    """Dispatches that ran as the first was lost."""
-    _first_at: float = 0.0
-    _last_at: float = 0.0
+    check_answered: bool = False
+    """Whether it has answered a health check since then, with any result."""
+    _dispatches: set[int] = attrs.Factory(set)
+    """Dispatches that were running when the first run was lost."""
+    _first_lost: float = 0.0
+    _last_lost: float = 0.0
 
     def add(
         self, now: float, req: inbound_request.InboundRequest, running: Iterable[int]
     ) -> bool:
-        """Add a lost run; return whether it is the first one of this moment."""
+        """Add a lost run; return whether it is the first since the last verdict."""
         first = not self.lost
         if first:
-            self._first_at = now
-            self._ran = set(running)
-            self.refused = False
-            self.answered = False
+            self._first_lost = now
+            self._dispatches = set(running)
+            self.connection_refused = False
+            self.check_answered = False
         self.lost.append(req)
-        self._last_at = now
+        self._last_lost = now
         return first
 
     def health_check_done(self, *, refused: bool) -> None:
-        """Take the answer to a health check, or that the connection was refused."""
-        self.refused |= refused
-        self.answered |= not refused
+        """Record that a health check was answered, or its connection refused."""
+        self.connection_refused |= refused
+        self.check_answered |= not refused
 
     def settle_deadline(self) -> float:
-        """Return when no more losses of this moment are expected."""
-        return min(self._last_at + SETTLE_TIME_S, self._first_at + SETTLE_MOST_S)
+        """Return the time after which no further losses are expected."""
+        return min(self._last_lost + SETTLE_TIME_S, self._first_lost + MAX_SETTLE_S)
 
     def confirm_deadline(self) -> float:
-        """Return until when to wait for the answer to the health check."""
-        return self._first_at + SETTLE_MOST_S + CONFIRM_S
+        """Return the time at which the health check times out."""
+        return self._first_lost + MAX_SETTLE_S + HEALTH_CHECK_TIMEOUT_S
 
     def verdict(self, now: float, running: Container[int]) -> Verdict:
-        """Return what is known by now."""
-        if self.refused:
+        """Return the verdict on the losses so far."""
+        if self.connection_refused:
             return Verdict.CRASHED
         if now < self.settle_deadline():
             return Verdict.UNDECIDED
-        if self.answered or now >= self.confirm_deadline():
+        if self.check_answered or now >= self.confirm_deadline():
             return Verdict.SINGLE
-        if any(one in running for one in self._not_lost()):
+        if any(one in running for one in self._not_yet_lost()):
             return Verdict.SINGLE
         return Verdict.ALL_LOST
 
     def take_lost(
         self, running: dict[int, inbound_request.InboundRequest]
     ) -> list[inbound_request.InboundRequest]:
-        """Return what was lost, and begin anew.
+        """Return the lost runs and reset the detector.
 
-        Where the target has crashed, what ran as the first was lost is lost as well:
-        the closing of its connections is only not read yet.
+        After a crash they include runs whose closed connections are not read yet.
         """
-        unread = sorted(self._not_lost())
+        unreported = sorted(self._not_yet_lost())
         lost, self.lost = self.lost, []
-        if not self.refused:
+        if not self.connection_refused:
             return lost
-        return lost + [running[one] for one in unread if one in running]
+        return lost + [running[one] for one in unreported if one in running]
 
-    def _not_lost(self) -> set[int]:
-        """Return the dispatches that ran as the first was lost, and are not lost."""
-        return self._ran - {req.dispatch for req in self.lost}
+    def _not_yet_lost(self) -> set[int]:
+        """Return the dispatches that ran at the first loss and are not lost yet."""
+        return self._dispatches - {req.dispatch for req in self.lost}
--- a/ferrydeck/mesh/poison/fingerprints.py
+++ b/ferrydeck/mesh/poison/fingerprints.py
@@ -1,8 +1,7 @@
-"""Fingerprints that show whether two requests are the same one, sent again.
+"""Fingerprints that identify copies of a request.
 
-A caller that comes again names a new id, so a request is identified by what a target
-receives of it: method, host, path and query, the team whose it is, and the body. The
-module owns no state.
+Retries of a caller have new request ids. A fingerprint hashes what the target receives:
+method, host, path with query, team and body.
 """
 
 from __future__ import annotations
@@ -11,36 +10,36 @@
 
 from ferrydeck.mesh import messages
 
-PART_BYTES = 8
-"""Length of each half of a fingerprint, bytes: to find another request with the same
-fingerprint as a given one takes 2 to the 64 tries for the first half alone."""
+HALF_BYTES = 8
+"""Length of each half of a fingerprint, bytes. Finding a request with a given first
+half takes 2**64 tries."""
 HOST = "host"
 
 Fingerprint = bytes
-"""The half of a request's head, then the half of its body."""
+"""Hash of a request's head, followed by the hash of its body."""
 
 
 def head(method: str, host: str, path: str, team: str) -> bytes:
-    """Return the half that costs the same however long the body is."""
+    """Return the first half of a fingerprint, without hashing the body."""
     parts = "\0".join((method, host, path, team))
     return _digest(parts.encode("utf-8", "surrogateescape"))
 
 
-def whole(head_half: bytes, body: bytes) -> Fingerprint:
-    """Return the fingerprint of a request of which the first half is known."""
-    return head_half + _digest(body)
+def join(first_half: bytes, body: bytes) -> Fingerprint:
+    """Return the fingerprint with a given first half and body."""
+    return first_half + _digest(body)
 
 
-def of(
+def of_request(
     *, method: str, fields: messages.Fields, path: str, team: str, body: bytes
 ) -> Fingerprint:
     """Return the fingerprint of a request."""
-    return whole(head(method, host_of(fields), path, team), body)
+    return join(head(method, host_of(fields), path, team), body)
 
 
 def of_forward(forward: messages.Forward) -> Fingerprint:
-    """Return the fingerprint of a request on the inbound side."""
-    return of(
+    """Return the fingerprint of a forwarded request."""
+    return of_request(
         method=forward.method,
         fields=forward.fields,
         path=forward.path,
@@ -50,19 +49,19 @@
 
 
 def host_of(fields: messages.Fields) -> str:
-    """Return the host that a request names; empty for none."""
+    """Return the `Host` header of a request; empty for none."""
     return next((value for name, value in fields if name == HOST), "")
 
 
 def head_of(fingerprint: Fingerprint) -> bytes:
     """Return the first half of a fingerprint."""
-    return fingerprint[:PART_BYTES]
+    return fingerprint[:HALF_BYTES]
 
 
 def weight(fingerprint: Fingerprint, name: str) -> bytes:
-    """Return a pseudo-random number, as bytes, for a fingerprint and a name."""
+    """Return the rendezvous hash of a fingerprint and a name."""
     return _digest(fingerprint + name.encode())
 
 
 def _digest(data: bytes) -> bytes:
-    return hashlib.blake2b(data, digest_size=PART_BYTES).digest()
+    return hashlib.blake2b(data, digest_size=HALF_BYTES).digest()
--- a/ferrydeck/mesh/poison/isolation.py
+++ b/ferrydeck/mesh/poison/isolation.py
@@ -1,7 +1,7 @@
-"""Decides which suspects may run at a target together, so that a crash names one.
+"""Limits which suspects run at a target together, so that a crash identifies one.
 
-Owns the suspects that run here and those that wait. Relies on `request_queue` to start
-them as slots become free. `owner` chooses the box for all copies of a suspect.
+Tracks the running and the waiting suspects; `request_queue` starts the latter as slots
+become free. `owner` picks the box for all copies of a suspect.
 """
 
 from __future__ import annotations
@@ -13,16 +13,14 @@
 from ferrydeck.mesh.inbound import inbound_request
 from ferrydeck.mesh.poison import fingerprints, records
 
-GROUP = 8
-"""Suspects of one crash that run at a target together. Of 45 requests that ran on one
-of five targets the other four get eleven each: two groups, so that those at the back
-wait for one run. A second crash leaves eight, three for each target that is left, and
-each of these runs alone: a third crash names one."""
+MAX_GROUP_SIZE = 8
+"""Maximum number of suspects of one crash that run at a target together. A second crash
+leaves that many, which then run alone, so a third crash identifies one."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class WaitingSuspect:
-    """A suspect that waits until it may run."""
+    """A suspect that waits to be run."""
 
     req: inbound_request.InboundRequest
     record: records.SuspectRecord
@@ -30,11 +28,11 @@
 
 @attrs.define(kw_only=True)
 class IsolationQueue:
-    """The suspects at one target, and those that wait for it."""
+    """The running and the waiting suspects of one target."""
 
     waiting: list[WaitingSuspect] = attrs.Factory(list)
     running: dict[int, records.SuspectRecord] = attrs.Factory(dict)
-    """Those at the target, by dispatch."""
+    """Records of the running suspects, by dispatch."""
 
     def __iter__(self) -> Iterator[inbound_request.InboundRequest]:
         return (one.req for one in self.waiting)
@@ -42,11 +40,11 @@
     def enqueue(
         self, req: inbound_request.InboundRequest, record: records.SuspectRecord
     ) -> None:
-        """Have a suspect wait until it may run."""
+        """Add a suspect to the queue."""
         self.waiting.append(WaitingSuspect(req=req, record=record))
 
     def remove(self, req: inbound_request.InboundRequest) -> bool:
-        """Take a waiting suspect out; return whether it was there."""
+        """Remove a waiting suspect; return whether it was in the queue."""
         found = next((one for one in self.waiting if one.req is req), None)
         if found is None:
             return False
@@ -54,17 +52,17 @@
         return True
 
     def run_ended(self, dispatch: int) -> None:
-        """Note that a run has ended, of a suspect or not."""
+        """Remove a run that has ended, if it was that of a suspect."""
         self.running.pop(dispatch, None)
 
     def pop_next(self) -> inbound_request.InboundRequest | None:
-        """Take the next suspect that may run out, `None` while there is none.
+        """Remove and return the next suspect that may run, `None` if there is none.
 
-        One that has to run alone goes first: it would wait for ever behind groups.
+        Suspects that run alone go first, since groups would starve them.
         """
-        some_alone = any(one.record.runs_alone for one in self.waiting)
+        isolate_next = any(one.record.runs_alone for one in self.waiting)
         for one in self.waiting:
-            if some_alone and one.record.uncleared and not one.record.runs_alone:
+            if isolate_next and one.record.crash_count and not one.record.runs_alone:
                 continue
             if self._may_run(one.record):
                 self.waiting.remove(one)
@@ -72,38 +70,38 @@
                 return one.req
         return None
 
-    def isolated(self) -> set[fingerprints.Fingerprint]:
-        """Return the suspects that run at the target."""
-        return {one.fingerprint for one in self.running.values() if one.uncleared}
+    def running_fingerprints(self) -> set[fingerprints.Fingerprint]:
+        """Return the fingerprints of the running suspects."""
+        return {one.fingerprint for one in self.running.values() if one.crash_count}
 
     def blocked_requests(self) -> list[inbound_request.InboundRequest]:
-        """Return those that wait and may not run any more."""
+        """Return the waiting requests that have been blocked."""
         return [one.req for one in self.waiting if one.record.blocked]
 
     def pop_all(self) -> list[inbound_request.InboundRequest]:
-        """Take all that wait out."""
+        """Remove and return all waiting requests."""
         taken = [one.req for one in self.waiting]
         self.waiting.clear()
         return taken
 
     def _may_run(self, record: records.SuspectRecord) -> bool:
-        """Return whether a suspect may run beside those that run now."""
-        if not record.uncleared:
+        """Return whether a suspect may run beside the running ones."""
+        if not record.crash_count:
             return True
-        beside = [one for one in self.running.values() if one.uncleared]
-        if any(one is record for one in beside):
+        suspects = [one for one in self.running.values() if one.crash_count]
+        if any(one is record for one in suspects):
             return False
         if record.runs_alone:
-            return not beside and not record.blocked
-        if any(one.runs_alone for one in beside):
+            return not suspects and not record.blocked
+        if any(one.runs_alone for one in suspects):
             return False
-        return len(beside) < GROUP
+        return len(suspects) < MAX_GROUP_SIZE
 
 
 def owner(fingerprint: fingerprints.Fingerprint, addresses: list[str]) -> str:
-    """Return which of some daemons a suspect goes to: the same at each daemon.
+    """Return the address that owns a suspect, by rendezvous hashing.
 
-    All copies of it meet at one target, which runs one at a time, and the suspects of
-    one crash are spread over all others (rendezvous hashing).
+    All daemons send the copies of a suspect to the same target, which runs them one at
+    a time; different suspects are spread over all targets.
     """
     return max(addresses, key=lambda one: fingerprints.weight(fingerprint, one))
--- a/ferrydeck/mesh/poison/known_good.py
+++ b/ferrydeck/mesh/poison/known_good.py
@@ -1,7 +1,7 @@
-"""Requests that succeeded at a target lately, and so do not crash it.
+"""Remembers requests that succeeded recently and so do not crash the target.
 
-Owns two generations of request hashes. Relies on the tracker to clear them when another
-incarnation of the target answers.
+Their hashes are kept in two generations, which the tracker clears when the target has
+restarted.
 """
 
 from __future__ import annotations
@@ -11,42 +11,39 @@
 from ferrydeck.mesh import messages
 from ferrydeck.mesh.poison import fingerprints
 
-REMEMBERED = 1024
-"""Requests after which older ones begin to be forgotten. One that comes so rarely that
-1,024 others lie between is no popular one. The two sets take 0.14 MB when full."""
-BODY_MOST = 4096
-"""Requests with longer bodies are not remembered, bytes: a body is hashed for every
-request that succeeds. Adding one of 300 bytes took 1.1 microseconds, of this length
-2.0."""
+GENERATION_SIZE = 1024
+"""Number of requests in a generation. Both take 0.14 MB when full."""
+MAX_BODY_BYTES = 4096
+"""Requests with longer bodies are not remembered, which bounds the cost of hashing the
+body of every successful request."""
 
 
 @attrs.define(kw_only=True)
 class KnownGood:
-    """The newest requests that succeeded, at least `REMEMBERED` of them.
+    """The last `GENERATION_SIZE` or more successful requests.
 
-    The hash is the interpreter's own, keyed anew in each process: no caller can make
-    two requests alike.
+    The built-in `hash` is keyed per process, so callers cannot construct collisions.
     """
 
-    _new: set[int] = attrs.Factory(set)
-    _old: set[int] = attrs.Factory(set)
+    _current: set[int] = attrs.Factory(set)
+    _previous: set[int] = attrs.Factory(set)
 
     def add(self, forward: messages.Forward) -> None:
-        """Remember a request that succeeded."""
-        if len(forward.body) > BODY_MOST:
+        """Remember a successful request."""
+        if len(forward.body) > MAX_BODY_BYTES:
             return
-        self._new.add(_key(forward))
-        if len(self._new) >= REMEMBERED:
-            self._old, self._new = self._new, set()
+        self._current.add(_key(forward))
+        if len(self._current) >= GENERATION_SIZE:
+            self._previous, self._current = self._current, set()
 
     def __contains__(self, forward: messages.Forward) -> bool:
         key = _key(forward)
-        return key in self._new or key in self._old
+        return key in self._current or key in self._previous
 
     def clear(self) -> None:
-        """Forget all, since another incarnation of the target answers."""
-        self._new.clear()
-        self._old.clear()
+        """Forget all requests after a restart of the target."""
+        self._current.clear()
+        self._previous.clear()
 
 
 def _key(forward: messages.Forward) -> int:
--- a/ferrydeck/mesh/poison/records.py
+++ b/ferrydeck/mesh/poison/records.py
@@ -1,12 +1,12 @@
-"""What is known of requests that ran on targets as these crashed.
+"""Crash records of requests that were running when a target crashed.
 
-A request is a suspect after one crash and blocked after three, one of them in an
-isolated run: targets of a rack crash together under whatever ran on all of them. What
-daemons report to each other are sets that only grow, of crashes and of those that a
-success has cleared, so reports may come late, twice and in any order.
+A request is a suspect after one crash. It is blocked after three, one of them in an
+isolated run, since the targets of a rack may crash together whatever they run. Records
+are replicated between daemons as grow-only sets of crashes and of cleared crashes, so
+reports may arrive late, repeatedly and in any order.
 
-Owns the records of this daemon. Relies on the tracker to attribute crashes, and on the
-reports of other daemons for what crashed elsewhere.
+The tracker attributes the crashes of this box's target; reports of other daemons add
+those that happened elsewhere.
 """
 
 from __future__ import annotations
@@ -19,71 +19,70 @@
 from ferrydeck.mesh import messages
 from ferrydeck.mesh.poison import fingerprints
 
-BLOCKED_AT = 3
-"""Crashes after which a request is run no more: what was agreed with users."""
-ISOLATED_AT = 2
-"""Crashes after which it runs only where no other suspect does, so that one more crash
-shows which of them it was."""
-KEPT_S = 900.0
-"""How long a request is remembered after the last crash under it, seconds: callers come
-again for minutes at the most, and an operator has read the lines by then."""
-RECORDS_MOST = 1024
-"""Requests that are remembered at most: what runs on six targets with 168 slots. They
-take 0.5 MB, 465 bytes each by the allocator's own count."""
+BLOCKING_CRASHES = 3
+"""Number of crashes after which a request is blocked."""
+ISOLATING_CRASHES = 2
+"""Number of crashes after which a request runs isolated from other suspects, so that
+another crash identifies it."""
+RECORD_TTL_S = 900.0
+"""Lifetime of a record after the last crash, seconds; longer than callers retry."""
+MAX_RECORDS = 1024
+"""Maximum number of records, as many as six targets with 168 slots run. They take
+0.5 MB."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class SuspectRecord:
-    """A request that ran on targets as these crashed."""
+    """The crashes of targets that were running a request."""
 
     fingerprint: fingerprints.Fingerprint
     crashes: frozenset[int] = frozenset()
     """Numbers of the crashes."""
     cleared: frozenset[int] = frozenset()
-    """Those of them that a later success has cleared."""
+    """Crashes that a later success of the request has cleared."""
     isolated: frozenset[int] = frozenset()
-    """Those of them that came in an isolated run."""
+    """Crashes that happened in an isolated run."""
     last_crash_at: float = 0.0
-    """When the last of them came, by this daemon's clock."""
+    """Time of the last crash, by this daemon's clock."""
 
     @property
-    def uncleared(self) -> int:
-        """How many crashes are not cleared; 0 for a request that is no suspect."""
+    def crash_count(self) -> int:
+        """Number of crashes that are not cleared; 0 if it is no suspect."""
         return len(self.crashes - self.cleared)
 
     @property
     def runs_alone(self) -> bool:
-        """Whether it may run only where no other suspect does."""
-        return self.uncleared >= ISOLATED_AT
+        """Whether it may only run isolated from other suspects."""
+        return self.crash_count >= ISOLATING_CRASHES
 
     @property
     def blocked(self) -> bool:
-        """Whether it may not run any more."""
-        enough = self.uncleared >= BLOCKED_AT
+        """Whether it must not run again."""
+        enough = self.crash_count >= BLOCKING_CRASHES
         return enough and not self.isolated <= self.cleared
 
     @property
-    def size(self) -> int:
-        """How much is known of it: grows with all that is learned."""
+    def event_count(self) -> int:
+        """Total size of the sets, which grows with each new report."""
         return len(self.crashes) + len(self.cleared) + len(self.isolated)
 
-    def left_s(self, now: float) -> float:
-        """Return how long it is still remembered, seconds."""
-        return max(0.0, self.last_crash_at + KEPT_S - now)
+    def remaining_s(self, now: float) -> float:
+        """Return the remaining lifetime of the record, seconds."""
+        return max(0.0, self.last_crash_at + RECORD_TTL_S - now)
 
 
 @attrs.define(kw_only=True)
 class SuspectRecords:
-    """The requests that are remembered, by fingerprint."""
+    """The crash records of a daemon, by fingerprint."""
 
     by_fingerprint: dict[fingerprints.Fingerprint, SuspectRecord] = attrs.Factory(dict)
-    _heads: collections.Counter[bytes] = attrs.Factory(collections.Counter)
-    """First halves of their fingerprints."""
+    _head_counts: collections.Counter[bytes] = attrs.Factory(collections.Counter)
+    """Number of records by the first half of their fingerprint."""
 
     @property
     def empty(self) -> bool:
-        """Whether nothing is remembered, as in calm times."""
-        return not self._heads
+        """Whether there are no records."""
+        return not self._head_counts
 
     def find(
         self,
@@ -94,22 +93,21 @@
         team: str,
         body: Callable[[], bytes],
     ) -> SuspectRecord | None:
-        """Return the record of a request that is a suspect, `None` for any other.
+        """Return the record of a request if it is a suspect.
 
-        While nothing is remembered this costs nothing, and a body is hashed only where
-        all else of the request is that of a suspect.
+        The body is hashed only if the rest of the request matches a record.
         """
-        if not self._heads:
+        if not self._head_counts:
             return None
         head = fingerprints.head(method, fingerprints.host_of(fields), path, team)
-        if head not in self._heads:
+        if head not in self._head_counts:
             return None
-        record = self.by_fingerprint.get(fingerprints.whole(head, body()))
-        return record if record is not None and record.uncleared else None
+        record = self.by_fingerprint.get(fingerprints.join(head, body()))
+        return record if record is not None and record.crash_count else None
 
     def find_forward(self, forward: messages.Forward) -> SuspectRecord | None:
-        """Return the record of an inbound request, if it is a suspect."""
-        if not self._heads:
+        """Return the record of a forwarded request if it is a suspect."""
+        if not self._head_counts:
             return None
         return self.find(
             method=forward.method,
@@ -119,16 +117,16 @@
             body=lambda: forward.body,
         )
 
-    def attribute(
+    def attribute_crash(
         self,
         now: float,
         crash: int,
         ran: Iterable[fingerprints.Fingerprint],
         isolated: Collection[fingerprints.Fingerprint] = (),
     ) -> list[messages.SuspectReport]:
-        """Attribute a crash to what ran; return the reports for other daemons.
+        """Attribute a crash to running requests; return the reports to broadcast.
 
-        `isolated` are the fingerprints whose runs were isolated.
+        `isolated` holds the fingerprints of those that ran isolated.
         """
         reports = []
         for fingerprint in ran:
@@ -138,36 +136,36 @@
                 record.isolated |= {crash}
             record.last_crash_at = now
             reports.append(_report(now, record))
-        self._trim(now)
+        self._evict(now)
         return reports
 
     def clear(self, now: float, record: SuspectRecord) -> messages.SuspectReport:
-        """Clear a request that has succeeded; return the report for other daemons."""
+        """Clear a request that has succeeded; return the report to broadcast."""
         record.cleared |= record.crashes
         return _report(now, record)
 
     def merge(
         self, now: float, reports: Iterable[messages.SuspectReport]
     ) -> list[SuspectRecord]:
-        """Take the reports of another daemon; return the records that changed."""
+        """Merge the reports of another daemon; return the records that changed."""
         changed = []
         for report in reports:
-            if report.age_s >= KEPT_S:
+            if report.age_s >= RECORD_TTL_S:
                 continue
             record = self._record(report.fingerprint)
-            before = record.size
+            before = record.event_count
             record.crashes |= frozenset(report.crashes)
             record.cleared |= frozenset(report.cleared)
             record.isolated |= frozenset(report.isolated)
             record.last_crash_at = max(record.last_crash_at, now - report.age_s)
-            if record.size != before:
+            if record.event_count != before:
                 changed.append(record)
-        self._trim(now)
+        self._evict(now)
         return changed
 
     def reports(self, now: float) -> list[messages.SuspectReport]:
-        """Return the reports of all records, for a daemon that may know none."""
-        self._trim(now)
+        """Return reports of all records, for a newly connected daemon."""
+        self._evict(now)
         return [_report(now, record) for record in self.by_fingerprint.values()]
 
     def _record(self, fingerprint: fingerprints.Fingerprint) -> SuspectRecord:
@@ -175,31 +173,31 @@
         if record is None:
             record = SuspectRecord(fingerprint=fingerprint)
             self.by_fingerprint[fingerprint] = record
-            self._heads[fingerprints.head_of(fingerprint)] += 1
+            self._head_counts[fingerprints.head_of(fingerprint)] += 1
         return record
 
-    def _trim(self, now: float) -> None:
-        """Forget what is old, and where there is too much, the fewest crashes first."""
+    def _evict(self, now: float) -> None:
+        """Remove expired records, then those with the fewest crashes while too many."""
         records = list(self.by_fingerprint.values())
         for record in records:
-            if now - record.last_crash_at > KEPT_S:
-                self._forget(record)
-        over = len(self.by_fingerprint) - RECORDS_MOST
-        if over <= 0:
+            if now - record.last_crash_at > RECORD_TTL_S:
+                self._remove(record)
+        excess = len(self.by_fingerprint) - MAX_RECORDS
+        if excess <= 0:
             return
-        least = sorted(
+        by_crashes = sorted(
             self.by_fingerprint.values(),
-            key=lambda one: (one.uncleared, one.last_crash_at),
+            key=lambda one: (one.crash_count, one.last_crash_at),
         )
-        for record in least[:over]:
-            self._forget(record)
+        for record in by_crashes[:excess]:
+            self._remove(record)
 
-    def _forget(self, record: SuspectRecord) -> None:
+    def _remove(self, record: SuspectRecord) -> None:
         del self.by_fingerprint[record.fingerprint]
         head = fingerprints.head_of(record.fingerprint)
-        self._heads[head] -= 1
-        if not self._heads[head]:
-            del self._heads[head]
+        self._head_counts[head] -= 1
+        if not self._head_counts[head]:
+            del self._head_counts[head]
 
 
 def _report(now: float, record: SuspectRecord) -> messages.SuspectReport:
--- a/tests/mesh/poison/test_memory.py
+++ b/tests/mesh/poison/test_memory.py
@@ -48,7 +48,7 @@
     made = records.SuspectRecords()
     ran = [fingerprints.of_forward(one) for one in forwards]
     for end in range(crashes):
-        made.attribute(1.0, end, ran, isolated=ran if end else ())
+        made.attribute_crash(1.0, end, ran, isolated=ran if end else ())
     return made
 
 
@@ -57,12 +57,12 @@
     made, well = records.SuspectRecords(), known_good.KnownGood()
     tracemalloc.start()
     for end in range(6250):
-        made.attribute(end * 0.1, end, [rng.randbytes(16) for _ in range(160)])
+        made.attribute_crash(end * 0.1, end, [rng.randbytes(16) for _ in range(160)])
     for number in range(100_000):
         well.add(forward(f"/look/{number}"))
     taken, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert len(made.by_fingerprint) <= records.RECORDS_MOST
+    assert len(made.by_fingerprint) <= records.MAX_RECORDS
     assert taken < MEGABYTE
 
 
@@ -71,7 +71,7 @@
     made = known(blocked, crashes=3)
     rng = random.Random(1)
     for end in range(100, 200):
-        made.attribute(2.0, end, [rng.randbytes(16) for _ in range(160)])
+        made.attribute_crash(2.0, end, [rng.randbytes(16) for _ in range(160)])
     assert made.find_forward(blocked).blocked
 
 
@@ -122,8 +122,8 @@
 
 def test_it_is_forgotten_after_its_time():
     made = known(forward(), crashes=3)
-    assert made.find_forward(forward()).left_s(1.0) == records.KEPT_S
-    made.reports(1.0 + records.KEPT_S + 1.0)
+    assert made.find_forward(forward()).remaining_s(1.0) == records.RECORD_TTL_S
+    made.reports(1.0 + records.RECORD_TTL_S + 1.0)
     assert made.find_forward(forward()) is None
 
 
--- a/tests/mesh/poison/test_sight.py
+++ b/tests/mesh/poison/test_sight.py
@@ -58,7 +58,7 @@
     assert box.core.inbound.suspects.crash_detector.lost
     assert not asked_again(attrs.evolve(silent, refused=True))
     [record] = box.core.inbound.suspects.records.by_fingerprint.values()
-    assert record.uncleared == 1
+    assert record.crash_count == 1
 
 
 def test_lost_answers_beside_others_that_go_on_are_no_end_of_a_server():
