--- a/tests/mesh/poison/schedules.py
+++ b/tests/mesh/poison/schedules.py
@@ -1,9 +1,8 @@
-"""Random schedules in which targets crash for other reasons than what they run.
+"""Random fault schedules in which no target crashes because of a request.
 
-Targets crash alone, together and again and again, boxes lose power, targets leave and
-are replaced, get a notice of two seconds, lie about their health, lose answers; daemons
-are killed and frozen, data centres cut off. Proper requests come all the while, some of
-them the same one over and over.
+Faults hit targets (crashes, drains, wrong health checks, lost responses), daemons
+(kills and freezes), boxes (power loss) and data centres (partitions). Harmless requests
+arrive all the time, half of them identical.
 """
 
 from __future__ import annotations
@@ -17,71 +16,71 @@
 from tests.mesh.simulation import links
 
 BOXES = 5
-POPULAR = "/look/popular"
+POPULAR_PATH = "/look/popular"
 SECONDS = 5.0
 STEP_S = 0.02
-GAP_S = (0.05, 0.8)
-"""Pauses between two faults, seconds."""
-NOTICE_S = 2.0
-HELD_BACK = frozenset({"condemned", "suspect"})
+FAULT_INTERVAL_S = (0.05, 0.8)
+"""Range of the interval between two faults, seconds."""
+SHORT_NOTICE_S = 2.0
+SUSPECT_REASONS = frozenset({"condemned", "suspect"})
 
 
 @attrs.define(kw_only=True)
 class Schedule:
-    """A fleet, its callers and the faults that strike it."""
+    """A fleet under load, with random faults."""
 
     world: simulation.World
     rng: random.Random
-    proper: list[simulation.Request] = attrs.Factory(list)
-    done: list[str] = attrs.Factory(list)
-
-    def play(self) -> None:
-        """Let callers and faults come for some seconds, and then a calm one."""
-        ends = self.world.now + SECONDS
-        strike_at = self.world.now + self.rng.uniform(*GAP_S)
-        while self.world.now < ends + 1.0:
-            if strike_at <= self.world.now < ends:
-                self.strike()
-                strike_at = self.world.now + self.rng.uniform(*GAP_S)
-            self._ask()
+    requests: list[simulation.Request] = attrs.Factory(list)
+    faults: list[str] = attrs.Factory(list)
+
+    def run(self) -> None:
+        """Send requests and inject faults, then send requests without faults."""
+        faults_end = self.world.now + SECONDS
+        next_fault_at = self.world.now + self.rng.uniform(*FAULT_INTERVAL_S)
+        while self.world.now < faults_end + 1.0:
+            if next_fault_at <= self.world.now < faults_end:
+                self.inject_fault()
+                next_fault_at = self.world.now + self.rng.uniform(*FAULT_INTERVAL_S)
+            self._send_requests()
             self.world.run(STEP_S)
         self.world.links.mend()
         self.world.run(3.0)
 
-    def strike(self) -> None:
-        """Begin a fault that was drawn."""
-        kind = self.rng.choice(
+    def inject_fault(self) -> None:
+        """Inject a random fault at a random box."""
+        fault = self.rng.choice(
             [
                 self._crash,
                 self._crash_some,
-                self._flap,
-                self._power,
-                self._leave,
-                self._notice,
-                self._lie,
+                self._crash_repeatedly,
+                self._lose_power,
+                self._drain_and_replace,
+                self._stop_at_short_notice,
+                self._report_wrong_health,
                 self._lose_answers,
                 self._kill,
                 self._freeze,
-                self._cut,
+                self._partition,
             ]
         )
-        self.done.append(f"{self.world.now:.2f} {kind.__name__[1:]}")
-        kind(self.rng.choice(list(self.world.boxes.values())))
+        self.faults.append(f"{self.world.now:.2f} {fault.__name__[1:]}")
+        fault(self.rng.choice(list(self.world.boxes.values())))
 
-    def held_back(self) -> list[str]:
-        """Return the proper requests that were rejected as suspect."""
+    def rejected_as_suspect(self) -> list[str]:
+        """Return the requests that were rejected as suspect or blocked."""
         return [
             f"{one.request_id} at {one.at:.2f}: {one.answer.reason}"
-            for one in self.proper
-            if one.answer is not None and one.answer.reason in HELD_BACK
+            for one in self.requests
+            if one.answer is not None and one.answer.reason in SUSPECT_REASONS
         ]
 
-    def _ask(self) -> None:
+    def _send_requests(self) -> None:
         for box in self.world.boxes.values():
             if box.up and self.rng.random() < 0.4:
                 popular = self.rng.random() < 0.5
-                path = POPULAR if popular else f"/look/{self.world.number()}"
-                self.proper.append(samples.ask(self.world, box.name, path=path))
+                path = POPULAR_PATH if popular else f"/look/{self.world.number()}"
+                self.requests.append(samples.ask(self.world, box.name, path=path))
 
     def _crash(self, box: simulation.Box) -> None:
         if box.target.up:
@@ -92,27 +91,27 @@
             if self.rng.random() < 0.6:
                 self._crash(one)
 
-    def _flap(self, box: simulation.Box) -> None:
+    def _crash_repeatedly(self, box: simulation.Box) -> None:
         for turn in range(3):
             self.world.after(0.9 * turn, lambda: self._crash(box))
 
-    def _power(self, box: simulation.Box) -> None:
+    def _lose_power(self, box: simulation.Box) -> None:
         if box.up and box.target.up:
             box.target.at_work.clear()
             self.world.kill(box, 0.5)
             self.world.targets.replace(box)
 
-    def _leave(self, box: simulation.Box) -> None:
+    def _drain_and_replace(self, box: simulation.Box) -> None:
         if box.up and not box.target.leaving:
             self.world.targets.drain(box)
             self.world.after(2.5, lambda: self.world.targets.replace(box))
 
-    def _notice(self, box: simulation.Box) -> None:
+    def _stop_at_short_notice(self, box: simulation.Box) -> None:
         if box.up and not box.target.leaving:
             self.world.targets.drain(box)
-            self.world.after(NOTICE_S, lambda: self._crash(box))
+            self.world.after(SHORT_NOTICE_S, lambda: self._crash(box))
 
-    def _lie(self, box: simulation.Box) -> None:
+    def _report_wrong_health(self, box: simulation.Box) -> None:
         target = box.target
         target.health = self.rng.random() < 0.5
         self.world.after(1.0, lambda: setattr(target, "health", None))
@@ -129,26 +128,26 @@
     def _freeze(self, box: simulation.Box) -> None:
         box.frozen_until = self.world.now + self.rng.uniform(0.2, 1.5)
 
-    def _cut(self, box: simulation.Box) -> None:
+    def _partition(self, box: simulation.Box) -> None:
         self.world.links.cut = links.around(box.data_centre)
-        self.world.after(0.8, self._mend)
+        self.world.after(0.8, self._heal)
 
-    def _mend(self) -> None:
+    def _heal(self) -> None:
         self.world.links.mend()
 
 
-def play(seed: int) -> Schedule:
-    """Play a schedule."""
+def run_schedule(seed: int) -> Schedule:
+    """Run the schedule of a seed."""
     world = samples.world_of(BOXES, seed=seed, data_centres=2, slots=12)
-    made = Schedule(world=world, rng=random.Random(seed))
-    made.play()
-    return made
+    schedule = Schedule(world=world, rng=random.Random(seed))
+    schedule.run()
+    return schedule
 
 
 def main(seeds: int) -> None:
-    """Play many seeds and print those in which somebody was held back."""
+    """Run many seeds and print those with requests rejected as suspect."""
     for seed in range(seeds):
-        if found := play(seed).held_back():
+        if found := run_schedule(seed).rejected_as_suspect():
             print(seed, found)
 
 
--- a/tests/mesh/poison/test_schedules.py
+++ b/tests/mesh/poison/test_schedules.py
@@ -1,4 +1,4 @@
-"""No proper request is refused for what another did, whatever strikes servers."""
+"""Random faults do not cause harmless requests to be rejected as suspect."""
 
 from __future__ import annotations
 
@@ -8,15 +8,14 @@
 
 BATCH = 50
 BATCHES = 10
-"""Together 500 seeds, 0.3 s each; `python -m tests.mesh.poison.schedules 2000` plays
-more of them."""
+"""500 seeds in total; `python -m tests.mesh.poison.schedules 2000` runs more."""
 
 
 @pytest.mark.parametrize("batch", range(BATCHES))
-def test_without_a_lethal_request_nobody_is_held_back(batch):
-    held_back = {}
+def test_no_request_is_rejected_because_of_unrelated_crashes(batch):
+    rejected = {}
     for seed in range(batch * BATCH, (batch + 1) * BATCH):
-        played = schedules.play(seed)
-        if found := played.held_back():
-            held_back[seed] = found
-    assert held_back == {}
+        schedule = schedules.run_schedule(seed)
+        if found := schedule.rejected_as_suspect():
+            rejected[seed] = found
+    assert rejected == {}
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -6,7 +6,7 @@
 
 from ferrydeck.mesh import messages
 from ferrydeck.mesh.inbound import admission, request_queue, retry_after
-from tests.mesh.poison import test_memory
+from tests.mesh.poison import test_records
 
 Reason = messages.Reason
 
@@ -66,7 +66,7 @@
     for reason, mended, forward_mended in MENDED:
         inputs |= mended
         wrong |= forward_mended
-        forward = test_memory.forward(retry=messages.Retry.MAY_HAVE_RUN, **wrong)
+        forward = test_records.new_forward(retry=messages.Retry.MAY_HAVE_RUN, **wrong)
         result = admission.decide(
             admission.Inputs(forward=forward, **inputs),
             0.0,
@@ -82,7 +82,7 @@
 def test_a_first_request_asks_no_budget_and_an_urgent_one_is_not_shed():
     shedder, retries = Shedder(), NoRetries()
     values = FAULTY | {"blocked": False, "left_s": 1.0, "open": True, "silent_s": 0.0}
-    forward = test_memory.forward(incarnation="i-a@1", route="look")
+    forward = test_records.new_forward(incarnation="i-a@1", route="look")
     inputs = admission.Inputs(forward=forward, **values)
     controls = {"shedder": shedder, "retries": retries, "notice_stalled": True}
     assert admission.decide(inputs, 0.0, **controls) == admission.ADMITTED
--- a/tests/mesh/test_switches.py
+++ b/tests/mesh/test_switches.py
@@ -8,11 +8,11 @@
 from tests.mesh import (
     samples,
     simulation,
-    test_choosing,
+    test_balancing,
     test_lost_boxes,
     test_surge,
 )
-from tests.mesh.poison import test_lethal_request
+from tests.mesh.poison import test_poison_requests
 
 
 def test_runs_that_fail_behind_a_server_are_turned_away():
@@ -48,13 +48,13 @@
         test_surge.test_calls_of_postings_are_offered_again_first_where_all_servers_shed
     ),
     "repeat_failed": test_the_first_failures_of_a_server_are_not_the_callers,
-    "prefer_fast": test_choosing.test_a_faster_server_gets_more_while_all_are_free,
-    "prefer_near": test_choosing.test_a_request_is_served_by_a_near_gate,
+    "prefer_fast": test_balancing.test_a_faster_target_gets_more_requests_at_low_load,
+    "prefer_near": test_balancing.test_requests_are_served_in_the_same_data_centre,
     "spill_early": (
         test_surge.test_work_goes_to_another_zone_before_a_near_server_is_full
     ),
     "remember_suspects": (
-        test_lethal_request.test_a_lethal_request_ends_three_servers_and_no_more
+        test_poison_requests.test_a_poison_request_crashes_at_most_three_targets
     ),
     "move_from_silent": (
         test_lost_boxes.test_requests_at_a_frozen_box_are_asked_of_another
