--- a/ferrydeck/mesh/outbound/balancing.py
+++ b/ferrydeck/mesh/outbound/balancing.py
@@ -124,24 +124,24 @@
         """Return the eligible target to which all copies of a suspect are sent."""
         group = self._group(now, service)
         all_peers = [*group.near, *group.far]
-        found: dict[str, Choice] = {
+        choices: dict[str, Choice] = {
             one.address: Remote(peer=one, incarnation=one.target_state.incarnation)
             for one in all_peers
             if _eligible(now, one, tried, only)
         }
         if self._local_open(service, tried, only):
-            own = Local(incarnation=self.inbound.target.incarnation)
-            found[self.ctx.identity.address] = own
-        if not found:
+            local = Local(incarnation=self.inbound.target.incarnation)
+            choices[self.ctx.identity.address] = local
+        if not choices:
             return NO_TARGET
-        return found[isolation.owner(fingerprint, list(found))]
+        return choices[isolation.owner(fingerprint, list(choices))]
 
     def _local_open(self, service: str, tried: set[str], only: set[str] | None) -> bool:
         """Return whether this box's own target is eligible."""
-        own = self.ctx.identity
-        if own.service != service or own.address in tried:
+        identity = self.ctx.identity
+        if identity.service != service or identity.address in tried:
             return False
-        if only is not None and own.address not in only:
+        if only is not None and identity.address not in only:
             return False
         ready = self.inbound.target.phase is messages.Phase.READY
         return ready and not self.inbound.stopping
@@ -183,20 +183,20 @@
         If all fail alike, a shared dependency is at fault and a retry only adds load
         to it. `peer` is `None` for the target of this box.
         """
-        own = self.inbound.health.failure_ratio(now)
-        failed = own if peer is None else peer.estimated_failure_ratio(now)
+        local = self.inbound.health.failure_ratio(now)
+        failed = local if peer is None else peer.estimated_failure_ratio(now)
         group = self._group(now, service)
         baseline = self._baseline_failures(now, service, [*group.near, *group.far])
         return scoring.is_outlier(failed, baseline)
 
     def _local_score(self, now: float, group: TargetGroup) -> float:
-        own = self.inbound
+        inbound = self.inbound
         return self._total_score(
-            own.busy / own.limit,
+            inbound.busy / inbound.limit,
             False,
-            now < own.target.cold_until,
-            own.service_time_ms,
-            own.health.failure_ratio(now),
+            now < inbound.target.cold_until,
+            inbound.service_time_ms,
+            inbound.health.failure_ratio(now),
             group,
         )
 
@@ -279,13 +279,13 @@
 
     def _rebuild_groups(self) -> None:
         """Regroup the peers by service after a change."""
-        own = self.ctx.identity.data_centre
+        data_centre = self.ctx.identity.data_centre
         self._groups = {}
         for peer in self.peers.by_address.values():
             if peer.target_state is None:
                 continue
             group = self._groups.setdefault(peer.target_state.service, TargetGroup())
-            (group.near if peer.data_centre == own else group.far).append(peer)
+            (group.near if peer.data_centre == data_centre else group.far).append(peer)
 
 
 def _eligible(
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -95,18 +95,18 @@
             status = replies.NOT_FOUND
             replies.decline(self.ctx, request, status, messages.Reason.NO_ROUTE, None)
             return
-        checked = self.access.check(now, request, route)
-        if isinstance(checked, access.Denied):
+        result = self.access.check(now, request, route)
+        if isinstance(result, access.Denied):
             replies.decline(
                 self.ctx,
                 request,
-                checked.status,
-                checked.reason,
-                checked.retry_after_s,
-                **checked.inputs,
+                result.status,
+                result.reason,
+                result.retry_after_s,
+                **result.inputs,
             )
             return
-        team = checked.team
+        team = result.team
         suspect = self._find_suspect(request, team)
         if suspect is not None and suspect.blocked:
             self._reject_blocked(now, request, team, suspect)
--- a/ferrydeck/mesh/poison/tracker.py
+++ b/ferrydeck/mesh/poison/tracker.py
@@ -105,18 +105,18 @@
         crash = self._crash_number(now, incarnation)
         lost = lost + [req for at, req in self._cancelled if now - at <= CANCEL_AGE_S]
         self._cancelled.clear()
-        all_ran = [fingerprints.of_forward(req.forward) for req in lost]
-        ran = dict(zip(all_ran, lost, strict=True))
+        lost_fingerprints = [fingerprints.of_forward(req.forward) for req in lost]
+        runs = dict(zip(lost_fingerprints, lost, strict=True))
         suspects = [
-            one for one, req in ran.items() if req.forward not in self.known_good
+            one for one, req in runs.items() if req.forward not in self.known_good
         ]
         self.ctx.note(
             "server-ended",
             instance=incarnation,
             end=crash,
             count=len(lost),
-            ran=[one.hex()[:LOGGED_HEX_DIGITS] for one in all_ran],
-            proven=len(ran) - len(suspects),
+            ran=[one.hex()[:LOGGED_HEX_DIGITS] for one in lost_fingerprints],
+            proven=len(runs) - len(suspects),
         )
         if not suspects or not self.ctx.switches.remember_suspects:
             return
@@ -126,7 +126,7 @@
             record = self.records.by_fingerprint.get(fingerprint)
             if record is not None and record.runs_alone:
                 outcome = "condemned" if record.blocked else "suspected"
-                self._log(record, ran[fingerprint].forward.request_id, outcome)
+                self._log(record, runs[fingerprint].forward.request_id, outcome)
 
     def incarnation_started(self) -> None:
         """Forget the known good requests, since the new incarnation may differ."""
