--- a/ferrydeck/mesh/inbound/correlation.py
+++ b/ferrydeck/mesh/inbound/correlation.py
@@ -116,7 +116,7 @@
         else:
             self.called_routes.discard(route)
 
-    def find_parent(
+    def match(
         self, now: float, route: str, remaining_s: float, runs: Iterable[R]
     ) -> Match[R] | None:
         """Return the run that made a request, `None` for an external caller.
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -207,7 +207,7 @@
         if run is not None:
             return correlation.Match(run=run, priority=run.call_priority)
         candidates = self.runs.by_dispatch.values()
-        return self.correlator.find_parent(now, route, remaining_s, candidates)
+        return self.correlator.match(now, route, remaining_s, candidates)
 
     def cancel(self, now: float, link: int, number: int) -> None:
         """Cancel a request of a disconnected caller; non-retryable runs continue."""
--- a/ferrydeck/mesh/inbound/pricing.py
+++ b/ferrydeck/mesh/inbound/pricing.py
@@ -132,7 +132,7 @@
     """Time for which a run holds a slot, seconds."""
     calls: float = 0.0
     """Calls per run."""
-    calls_to: dict[str, float] = attrs.Factory(dict)
+    callees: dict[str, float] = attrs.Factory(dict)
     """Calls per run, by called route."""
     runs: int = 0
     full_runs: int = 0
@@ -143,7 +143,7 @@
         *,
         service_time_s: float,
         calls: int,
-        calls_to: Mapping[str, int],
+        callees: Mapping[str, int],
         full: bool,
     ) -> None:
         """Count an ended run; an incomplete one made only part of its calls."""
@@ -155,9 +155,9 @@
         weight = max(RUN_WEIGHT, 1.0 / (1 + self.full_runs))
         self.full_runs += 1
         self.calls += weight * (calls - self.calls)
-        for name in self.calls_to.keys() | calls_to.keys():
-            mean = self.calls_to.get(name, 0.0)
-            self.calls_to[name] = mean + weight * (calls_to.get(name, 0) - mean)
+        for name in self.callees.keys() | callees.keys():
+            mean = self.callees.get(name, 0.0)
+            self.callees[name] = mean + weight * (callees.get(name, 0) - mean)
 
 
 @attrs.define(kw_only=True)
@@ -209,7 +209,7 @@
         `service` is the service of the local target.
         """
         demand: collections.Counter[str] = collections.Counter()
-        for called, calls in self.route(name).calls_to.items():
+        for called, calls in self.route(name).callees.items():
             for other, pct in self._reported_demand.get(called, ()):
                 demand[other] += calls * pct / 100
         demand[service] += self.service_time_s(name) / self.mean_service_time_s
@@ -249,12 +249,12 @@
         *,
         service_time_s: float,
         calls: int,
-        calls_to: Mapping[str, int],
+        callees: Mapping[str, int],
         full: bool,
     ) -> None:
         """Count an ended run; an incomplete one made only part of its calls."""
         self.route(name).count_run(
-            service_time_s=service_time_s, calls=calls, calls_to=calls_to, full=full
+            service_time_s=service_time_s, calls=calls, callees=callees, full=full
         )
         self.ended_runs += 1
         weight = max(RUN_WEIGHT, 1.0 / (1 + self.ended_runs))
--- a/ferrydeck/mesh/inbound/retry_budget.py
+++ b/ferrydeck/mesh/inbound/retry_budget.py
@@ -81,9 +81,7 @@
     """Requests sent to the target, by step."""
     _shed: collections.Counter[int] = attrs.Factory(collections.Counter)
     """Requests shed by the target, by step."""
-    peer_counts: service_counts.ServiceCounts = attrs.Factory(
-        service_counts.ServiceCounts
-    )
+    peers: service_counts.ServiceCounts = attrs.Factory(service_counts.ServiceCounts)
     """Counts reported by the other daemons of the service."""
     _step: int = -1
     _first_step: int | None = None
@@ -154,7 +152,7 @@
         `None` if no daemon has granted a retry within the window.
         """
         self._advance(now)
-        if not self._granted and not any(self.peer_counts.retries.values()):
+        if not self._granted and not any(self.peers.retries.values()):
             return None
         window = self._window_steps
         length = min(2 * window, self._step - self._first_step)
@@ -167,7 +165,7 @@
     ) -> None:
         """Store the counts of another daemon."""
         self._advance(now)
-        self.peer_counts.received(self._step, address, requests, retries)
+        self.peers.received(self._step, address, requests, retries)
         self._renew_quota()
 
     def snapshot(self) -> dict[str, float]:
@@ -194,22 +192,22 @@
 
     def _renew_quota(self) -> None:
         """Set the quota of this period by the counts of all daemons."""
-        reporting = self.peer_counts.count_reporting(self._step, self.period)
+        reporting = self.peers.count_reporting(self._step, self.period)
         if not reporting:
             self._quota = float("inf")
             return
         # A daemon that has not reported yet may have used its whole quota.
-        missing = self.peer_counts.count_missing(self._step, self.period)
+        missing = self.peers.count_missing(self._step, self.period)
         remaining = self._service_remaining() - missing * self._previous_quota
         self._quota = max(0.0, remaining) / (1 + reporting)
 
     def _service_remaining(self) -> float:
         """Return the grants left to all daemons at the start of this period."""
         window, start = self._window_steps, self._period_start
-        requests = self._prefix_sums(self._requests, self.peer_counts.requests)
+        requests = self._prefix_sums(self._requests, self.peers.requests)
         own = {step: count for step, count in self._granted.items() if step < start}
-        granted = self._prefix_sums(own, self.peer_counts.retries)
-        known = min(len(self.peer_counts), max(0, self.target_count - 1))
+        granted = self._prefix_sums(own, self.peers.retries)
+        known = min(len(self.peers), max(0, self.target_count - 1))
         slack = self.slack * SLACK_SHARE * known / max(1, self.target_count)
         remaining = float("inf")
         for end in self._window_ends:
@@ -283,7 +281,7 @@
         for counts in (self._requests_by_priority, self._shed_by_priority):
             for key in [key for key in counts if key[0] <= step - DEMAND_STEPS]:
                 del counts[key]
-        self.peer_counts.forget(step - 2 * window)
+        self.peers.forget(step - 2 * window)
         self._allowed = [self._allowed_at(end, window) for end in self._window_ends]
         self._renew_quota()
 
--- a/ferrydeck/mesh/inbound/runs.py
+++ b/ferrydeck/mesh/inbound/runs.py
@@ -118,6 +118,6 @@
             req.forward.route,
             service_time_s=now - req.started_at,
             calls=req.ended_calls,
-            calls_to=req.answered_calls,
+            callees=req.answered_calls,
             full=full,
         )
--- a/tests/mesh/chains.py
+++ b/tests/mesh/chains.py
@@ -1,10 +1,9 @@
-"""A fleet whose deepest service is short of room, as the users' sheets lay it out.
+"""Simulated deployments with a chain of calls to a deepest service of little capacity.
 
-Callers ask `desk` (lookups) and `ledger` (postings), and some ask `deep` itself
-(entries). A lookup makes one call to the ledger, which makes one to `plan`, which makes
-four to `deep`, in turn; a posting makes one or two calls to `plan`. The times, the
-slots and the shares of the kinds are those of the sheets, and so is the number of
-fronts for each deep server: each front sees a few runs a second.
+Callers send lookups to `desk`, postings to `ledger` and entries to `deep`. A lookup
+makes one call to `ledger`, which makes one to `plan`, which makes four calls to `deep`
+in turn. A posting makes one or two calls to `plan`. Rates, service times, slots and box
+counts are those of real deployments, where each daemon sees a few runs per second.
 """
 
 from __future__ import annotations
@@ -20,11 +19,11 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Sheet:
-    """A deployment as the users' sheet states it."""
+class Deployment:
+    """Parameters of a deployment."""
 
     per_s: dict[str, float]
-    """Requests a second of each kind, of the whole deployment."""
+    """Request rate of each kind in the whole deployment, per second."""
     deadline_s: dict[str, float]
     boxes: dict[str, int]
     slots: dict[str, int]
@@ -34,14 +33,14 @@
     data_centres: int
     routes: tuple[policy.Route, ...]
     teams: tuple[tuple[fleets.TeamKeys, float], ...] = ()
-    """Teams with their parts of all requests; empty where requests have no team."""
+    """Teams with their shares of the requests; empty if requests have no team."""
 
     def policy(self) -> policy.Policy:
-        """Return the policy that operators wrote for it."""
+        """Return the policy of the deployment."""
         if not self.teams:
             return samples.policy_of(*self.routes)
-        held = [one for one, _ in self.teams]
-        return fleets.policy_of(*held, routes=self.routes)
+        holdings = [holding for holding, _ in self.teams]
+        return fleets.policy_of(*holdings, routes=self.routes)
 
 
 def _calls(of: str, to: str, times: int, deadline_s: float) -> simulation.Calls:
@@ -56,7 +55,7 @@
 
 
 def _routes(times_s: dict[str, tuple[float, float]]) -> tuple[policy.Route, ...]:
-    """Return the routes of a sheet by their timeouts and targets."""
+    """Return the routes, by their timeouts and latency objectives."""
     once = policy.Kind.ONCE
 
     def route(name: str, service: str, **changes: object) -> policy.Route:
@@ -77,7 +76,7 @@
 
 
 USUAL_SPEEDS = (0.6, 1.0, 1.4)
-LARGE = Sheet(
+LARGE = Deployment(
     per_s={"look": 411.0, "post": 173.0, "sheet": 62.5, "entry": 46.8},
     deadline_s={"look": 5.0, "post": 5.0, "sheet": 5.0, "entry": 2.5},
     boxes={"desk": 95, "ledger": 69, "plan": 20, "deep": 10},
@@ -114,10 +113,10 @@
         }
     ),
 )
-"""The largest deployment, of 194 boxes."""
+"""The largest deployment, with 194 boxes."""
 
 SHIFTED_SPEEDS = (0.7, 0.7, 1.6)
-SHIFTED = Sheet(
+SHIFTED = Deployment(
     per_s={"look": 382.0, "post": 484.0, "sheet": 58.6, "entry": 127.0},
     deadline_s={"look": 5.0, "post": 5.0, "sheet": 3.0, "entry": 1.5},
     boxes={"desk": 20, "ledger": 35, "plan": 8, "deep": 5},
@@ -163,15 +162,15 @@
         (fleets.team_keys("farm", priority=1), 0.89),
     ),
 )
-"""A deployment of 68 boxes with teams, whose most frequent kind is the most urgent."""
+"""A deployment with 68 boxes and teams, in which most requests are urgent."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Sent:
-    """A request of a caller, or its second try."""
+    """A request of a caller, or its retry."""
 
-    first: float
-    """When its caller tried first."""
+    first_at: float
+    """Time of the first attempt."""
     kind: str
     key: str
     req: simulation.Request
@@ -179,36 +178,36 @@
 
 @attrs.define(kw_only=True)
 class Chain:
-    """The fleet, its callers, and what they got."""
+    """A simulated fleet with its callers and their requests."""
 
     world: simulation.World
-    sheet: Sheet
+    spec: Deployment
     scale: float
     rng: random.Random
     sent: list[Sent] = attrs.Factory(list)
 
     def load(self, *, times: float, seconds: float) -> None:
-        """Have callers send `times` what the sheet says, spread at random.
+        """Send random requests at `times` the rates of the deployment.
 
-        A rejected caller comes back once if its answer says when.
+        A rejected request is retried once if its answer contains a retry-after time.
         """
-        names = list(self.sheet.per_s)
-        weights = list(self.sheet.per_s.values())
+        names = list(self.spec.per_s)
+        weights = list(self.spec.per_s.values())
         per_s = times * self.scale * sum(weights)
         boxes = list(self.world.boxes.values())
-        ends = self.world.now + seconds
-        while self.world.now < ends:
+        end = self.world.now + seconds
+        while self.world.now < end:
             [kind] = self.rng.choices(names, weights)
-            box, left_s = self.rng.choice(boxes), self.sheet.deadline_s[kind]
+            box, left_s = self.rng.choice(boxes), self.spec.deadline_s[kind]
             self._send(kind, box, self.world.now, left_s, self._key())
             self.world.run(self.rng.expovariate(per_s))
 
     def _key(self) -> str:
-        """Draw a caller's key."""
-        if not self.sheet.teams:
+        """Draw the key of a caller."""
+        if not self.spec.teams:
             return ""
-        held, parts = zip(*self.sheet.teams, strict=True)
-        [holding] = self.rng.choices(held, parts)
+        holdings, shares = zip(*self.spec.teams, strict=True)
+        [holding] = self.rng.choices(holdings, shares)
         return holding.keys[0]
 
     def _send(
@@ -229,7 +228,7 @@
             deadline_s=left_s,
             key=key,
         )
-        self.sent.append(Sent(first=first, kind=kind, key=key, req=req))
+        self.sent.append(Sent(first_at=first, kind=kind, key=key, req=req))
 
         def answered() -> None:
             answer = req.answer
@@ -246,63 +245,63 @@
         req.then = answered
 
     def shares(self, after: float, until: float, key: str = "") -> dict[str, float]:
-        """Return which part of the requests of each kind were served.
+        """Return the ratio of served requests of each kind.
 
-        `key` picks those of a team.
+        `key` selects the requests of a team.
         """
-        owed: collections.Counter[str] = collections.Counter()
+        sent: collections.Counter[str] = collections.Counter()
         served: collections.Counter[str] = collections.Counter()
         for one in self.sent:
-            if not after <= one.first < until or (key and one.key != key):
+            if not after <= one.first_at < until or (key and one.key != key):
                 continue
             answer = one.req.answer
-            owed[one.kind] += one.req.at == one.first
+            sent[one.kind] += one.req.at == one.first_at
             served[one.kind] += answer is not None and answer.status == 200
-        return {kind: served[kind] / count for kind, count in owed.items()}
+        return {kind: served[kind] / count for kind, count in sent.items()}
 
     def wasted(self, after: float, until: float) -> float:
-        """Return which part of the runs of callers' requests ended in a failure."""
-        ids = {one.request_id for one in self.world.targets.runs if one.ran}
-        ended = [
+        """Return the ratio of runs whose request failed in the end."""
+        ids = {run.request_id for run in self.world.targets.runs if run.ran}
+        served = [
             one.req.answer.status == 200
             for one in self.sent
-            if after <= one.first < until
+            if after <= one.first_at < until
             and one.req.answer
             and one.req.request_id in ids
         ]
-        return 1.0 - sum(ended) / max(1, len(ended))
+        return 1.0 - sum(served) / max(1, len(served))
 
 
 def chain_of(
     *,
     scale: float,
     seed: int = 1,
-    off: switches.Switches | None = None,
-    sheet: Sheet = LARGE,
+    switch_values: switches.Switches | None = None,
+    spec: Deployment = LARGE,
     calls_named: bool = False,
 ) -> Chain:
-    """Return a fleet of `scale` times the boxes of the sheet, three seconds old."""
+    """Return a fleet with `scale` times the boxes, three seconds after its start."""
     world = simulation.World(
         seed=seed,
         call_host=samples.HOST,
         calls_named=calls_named,
-        switches=off or switches.Switches(),
+        switches=switch_values or switches.Switches(),
     )
-    world.store.use(sheet.policy())
+    world.store.use(spec.policy())
     number = 0
-    for service, count in sheet.boxes.items():
-        speeds = sheet.speeds[service]
+    for service, count in spec.boxes.items():
+        speeds = spec.speeds[service]
         for index in range(max(2, round(scale * count))):
             speed = speeds[index % len(speeds)]
-            works = tuple((of, work_s / speed) for of, work_s in sheet.works_s)
+            works = tuple((of, work_s / speed) for of, work_s in spec.works_s)
             world.add_box(
                 f"box-{number}",
-                f"hall-{number % sheet.data_centres}",
+                f"hall-{number % spec.data_centres}",
                 service,
-                slots=sheet.slots[service],
+                slots=spec.slots[service],
                 works_s=works,
-                calls=sheet.calls[service],
+                calls=spec.calls[service],
             )
             number += 1
     world.run(3.0)
-    return Chain(world=world, sheet=sheet, scale=scale, rng=random.Random(seed))
+    return Chain(world=world, spec=spec, scale=scale, rng=random.Random(seed))
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -1,4 +1,4 @@
-"""The order in which the checks of admission are made, and what each of them says."""
+"""The order and the results of the admission checks, queueing and retry-after."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 
 class Shedder:
-    """Sheds each request, and counts how often it is asked."""
+    """Sheds every request except those of route `kept`, and counts the decisions."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.decisions = 0
         self.costs = self
 
     def should_shed(self, now: float, forward: messages.Forward) -> bool:
-        self.asked += 1
+        self.decisions += 1
         return forward.route != "kept"
 
     def makes_calls(self, route: str) -> bool:
         return False
 
 
-class NoRetries:
-    """A budget that is spent; it counts how often it is asked."""
+class SpentBudget:
+    """A retry budget without retries left, which counts the decisions."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.decisions = 0
 
     def grant_rerun(self, now: float, *, makes_calls: bool) -> bool:
-        self.asked += 1
+        self.decisions += 1
         return False
 
 
-FAULTY = {
+INPUTS = {
     "left_s": 0.0,
     "blocked": True,
     "open": False,
@@ -47,8 +47,8 @@
     "heartbeat_age_s": 4.0,
     "heartbeat_s": 1.5,
 }
-WRONG = {"service": "book", "incarnation": "i-a@0", "route": "look", "lowest": True}
-MENDED = [
+FORWARD = {"service": "book", "incarnation": "i-a@0", "route": "look", "lowest": True}
+CORRECTIONS = [
     (Reason.BLOCKED, {}, {}),
     (Reason.EXPIRED, {"blocked": False}, {}),
     (Reason.CLOSED, {"left_s": 1.0}, {}),
@@ -60,13 +60,13 @@
 ]
 
 
-def test_a_request_with_all_faults_is_rejected_by_one_after_the_other():
-    shedder, retries = Shedder(), NoRetries()
-    inputs, wrong = dict(FAULTY), dict(WRONG)
-    for reason, mended, forward_mended in MENDED:
-        inputs |= mended
-        wrong |= forward_mended
-        forward = test_records.new_forward(retry=messages.Retry.MAY_HAVE_RUN, **wrong)
+def test_the_checks_reject_in_their_documented_order():
+    shedder, retries = Shedder(), SpentBudget()
+    inputs, fields = dict(INPUTS), dict(FORWARD)
+    for reason, changes, forward_changes in CORRECTIONS:
+        inputs |= changes
+        fields |= forward_changes
+        forward = test_records.new_forward(retry=messages.Retry.MAY_HAVE_RUN, **fields)
         result = admission.decide(
             admission.Inputs(forward=forward, **inputs),
             0.0,
@@ -75,18 +75,18 @@
             notice_stalled=True,
         )
         assert result == admission.Rejected(reason=reason)
-    # The checks that count what they are asked come last, and are asked once each.
-    assert (shedder.asked, retries.asked) == (2, 1)
+    # The checks with side effects come last and run once per request.
+    assert (shedder.decisions, retries.decisions) == (2, 1)
 
 
-def test_a_first_request_asks_no_budget_and_an_urgent_one_is_not_shed():
-    shedder, retries = Shedder(), NoRetries()
-    values = FAULTY | {"blocked": False, "left_s": 1.0, "open": True, "silent_s": 0.0}
+def test_an_urgent_first_attempt_is_neither_shed_nor_counted_as_a_retry():
+    shedder, retries = Shedder(), SpentBudget()
+    values = INPUTS | {"blocked": False, "left_s": 1.0, "open": True, "silent_s": 0.0}
     forward = test_records.new_forward(incarnation="i-a@1", route="look")
     inputs = admission.Inputs(forward=forward, **values)
     controls = {"shedder": shedder, "retries": retries, "notice_stalled": True}
     assert admission.decide(inputs, 0.0, **controls) == admission.ADMITTED
-    assert (shedder.asked, retries.asked) == (0, 0)
+    assert (shedder.decisions, retries.decisions) == (0, 0)
 
 
 @pytest.mark.parametrize(
@@ -97,15 +97,15 @@
         (1.5, 41, request_queue.Decision.DROPPED),
     ],
 )
-def test_who_waits_and_who_is_dropped(wait_s, waiting, place):
+def test_a_request_is_queued_or_dropped(wait_s, waiting, place):
     inputs = request_queue.Inputs(
         wait_s=wait_s, max_wait_s=1.0, waiting=waiting, limit=10
     )
     assert request_queue.decide(inputs) is place
 
 
-def test_a_shed_caller_comes_back_while_an_answer_is_still_on_time():
-    def after(random_value: float, reason: Reason = Reason.SHED) -> float:
+def test_retry_after_shedding_leaves_time_to_meet_the_objective():
+    def retry_after_s(random_value: float, reason: Reason = Reason.SHED) -> float:
         return retry_after.decide(
             retry_after.Inputs(
                 reason=reason,
@@ -117,6 +117,6 @@
             )
         )
 
-    assert after(1.0) == pytest.approx(1.5 - 0.15 - retry_after.RETRY_MARGIN_S)
-    assert after(0.0) < after(0.5) < after(1.0)
-    assert after(0.5, Reason.OVERLOAD) == pytest.approx(0.2)
+    assert retry_after_s(1.0) == pytest.approx(1.5 - 0.15 - retry_after.RETRY_MARGIN_S)
+    assert retry_after_s(0.0) < retry_after_s(0.5) < retry_after_s(1.0)
+    assert retry_after_s(0.5, Reason.OVERLOAD) == pytest.approx(0.2)
--- a/tests/mesh/test_calls_of_retries.py
+++ b/tests/mesh/test_calls_of_retries.py
@@ -1,4 +1,4 @@
-"""Calls of runs that are retries count as retries at the services that they reach."""
+"""Calls that a retried run makes count as retries at the called services."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def chain_of(seed: int, *, levels: int = 3) -> simulation.World:
-    """Return a chain of services; a run at each makes calls to the next."""
+    """Return a chain of services, in which each run makes calls to the next service."""
     world = simulation.World(seed=seed, call_host=samples.HOST, calls_named=True)
     names = ["desk", "mid", "deep"][:levels]
     routes = [
@@ -27,12 +27,12 @@
     ]
     world.store.use(samples.policy_of(*routes))
     for level, name in enumerate(names):
-        later = names[level + 1 : level + 2]
+        callees = names[level + 1 : level + 2]
         calls = tuple(
             simulation.Calls(
-                of=f"/{name}/", path=f"/{one}/1", times=CALLS, deadline_s=1.5
+                of=f"/{name}/", path=f"/{callee}/1", times=CALLS, deadline_s=1.5
             )
-            for one in later
+            for callee in callees
         )
         for number in range(3):
             world.add_box(
@@ -48,72 +48,70 @@
 
 
 def retries_at(world: simulation.World, service: str) -> list[float]:
-    """Return when retries arrived, as the users count them.
+    """Return the arrival times of retries.
 
-    An arrival is one if another of its request came before, or if it is a call of a run
-    whose arrival was one.
+    An arrival is a retry if its request arrived before, or if a retried run called it.
     """
     arrived: collections.Counter[str] = collections.Counter()
-    repeats: dict[str, bool] = {}
-    parents = {one.request_id: one.run_id for one in world.callers.requests.values()}
-    found = []
+    is_retry: dict[str, bool] = {}
+    parents = {call.request_id: call.run_id for call in world.callers.requests.values()}
+    times = []
     for run in world.targets.runs:
         parent = parents.get(run.request_id, "")
-        again = arrived[run.request_id] > 0 or repeats.get(parent, False)
+        retried = arrived[run.request_id] > 0 or is_retry.get(parent, False)
         arrived[run.request_id] += 1
         if run.ran:
-            repeats[run.request_id] = again
-        if again and run.path.startswith(f"/{service}/"):
-            found.append(run.at)
-    return found
+            is_retry[run.request_id] = retried
+        if retried and run.path.startswith(f"/{service}/"):
+            times.append(run.at)
+    return times
 
 
-def over_bound(world: simulation.World, service: str) -> float:
-    """Return by how much any window has more retries than was agreed."""
+def excess_over_bound(world: simulation.World, service: str) -> float:
+    """Return the largest excess of the retries in a window over the bound."""
     retries = retries_at(world, service)
-    asked = sorted(
-        one.at
-        for one in world.callers.requests.values()
-        if one.path.startswith(f"/{service}/")
+    requested = sorted(
+        request.at
+        for request in world.callers.requests.values()
+        if request.path.startswith(f"/{service}/")
     )
-    worst = float("-inf")
+    excess = float("-inf")
     for end in retries:
         ends = (end, end - WINDOW_S / 2, end - WINDOW_S)
-        most = max(in_window(asked, one) for one in ends)
-        worst = max(worst, in_window(retries, end) - 0.2 * most - 48)
-    return worst
+        peak = max(in_window(requested, last) for last in ends)
+        excess = max(excess, in_window(retries, end) - 0.2 * peak - 48)
+    return excess
 
 
 def in_window(times: list[float], end: float) -> int:
     return bisect.bisect_right(times, end) - bisect.bisect_right(times, end - WINDOW_S)
 
 
-def shed_at(world: simulation.World, *services: str) -> None:
+def make_targets_shed(world: simulation.World, *services: str) -> None:
     for box in world.boxes.values():
         if box.target.service in services:
             box.target.sheds_share = SHED
 
 
-# Guards against calls that no budget counts: those of a run that began after another
-# target had rejected its request. At the end of a chain in which two services shed,
-# more retries arrived than were agreed.
+# Guards against uncounted calls of runs that started after another target had rejected
+# the request: the last service of a chain received more retries than the bound allows.
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_where_two_services_of_a_chain_shed_the_last_stays_within_its_bound(seed):
+def test_the_last_service_stays_within_its_bound_if_two_services_shed(seed):
     world = chain_of(seed)
-    shed_at(world, "desk", "mid", "deep")
+    make_targets_shed(world, "desk", "mid", "deep")
     for number in range(14 * 60):
         samples.ask(world, f"desk-{number % 3}", path="/desk/1")
         samples.ask(world, f"desk-{(number + 1) % 3}", path="/desk/1")
         world.run(1 / 60)
     world.run(2.0)
     for service in ("desk", "mid", "deep"):
-        assert over_bound(world, service) <= 0.0, service
+        assert excess_over_bound(world, service) <= 0.0, service
     assert retries_at(world, "deep")
 
 
-def test_a_run_after_a_rejection_makes_calls_that_count_as_retries():
+def test_calls_of_a_run_after_a_rejection_count_as_retries():
     world = chain_of(1, levels=2)
-    shed_at(world, "desk")
+    make_targets_shed(world, "desk")
     for number in range(200):
         samples.ask(world, f"desk-{number % 3}", path="/desk/1")
         world.run(0.02)
@@ -126,14 +124,14 @@
     assert counted == len(retries_at(world, "mid")) > 20
 
 
-def test_a_daemon_of_an_earlier_protocol_is_sent_no_reason_that_it_does_not_know(
+def test_an_unknown_retry_reason_is_not_sent_to_a_daemon_of_an_earlier_protocol(
     monkeypatch,
 ):
     world = chain_of(1, levels=2)
     for box in world.boxes.values():
         for peer in box.core.peers.by_address.values():
             peer.protocol_version = messages.RETRY_PROTOCOL - 1
-    shed_at(world, "desk")
+    make_targets_shed(world, "desk")
     sent = []
     encode = messages.encode
 
--- a/tests/mesh/test_correlation.py
+++ b/tests/mesh/test_correlation.py
@@ -19,43 +19,40 @@
 RUNS = [Run(name="a", deadline=5.3), Run(name="b", deadline=5.5)]
 
 
-def test_a_call_ends_with_its_run():
+def test_a_call_is_matched_by_the_deadline_of_its_run():
     correlator = correlation.CallCorrelator()
-    assert correlator.find_parent(5.0, "call", 0.5, RUNS).run.name == "b"
-    assert correlator.find_parent(5.1, "call", 0.199, RUNS).run.name == "a"
+    assert correlator.match(5.0, "call", 0.5, RUNS).run.name == "b"
+    assert correlator.match(5.1, "call", 0.199, RUNS).run.name == "a"
 
 
-def test_of_two_runs_that_end_together_the_more_urgent_is_taken():
+def test_of_two_runs_with_one_deadline_the_more_urgent_one_matches():
     runs = [
         Run(name="low", deadline=5.5),
         Run(name="high", deadline=5.5, call_priority=0),
     ]
-    assert (
-        correlation.CallCorrelator().find_parent(5.0, "call", 0.5, runs).run.name
-        == "high"
-    )
+    assert correlation.CallCorrelator().match(5.0, "call", 0.5, runs).run.name == "high"
 
 
-def test_a_request_of_a_caller_ends_later_than_any_run():
-    assert correlation.CallCorrelator().find_parent(5.0, "look", 5.0, RUNS) is None
+def test_a_request_that_ends_later_than_all_runs_is_no_call():
+    assert correlation.CallCorrelator().match(5.0, "look", 5.0, RUNS) is None
 
 
-def test_a_bounded_call_belongs_to_a_run_that_ends_later():
+def test_a_bounded_call_matches_a_run_that_ends_later():
     correlator = correlation.CallCorrelator()
     correlator.set_called("call", called=True)
-    assert correlator.find_parent(5.0, "call", 0.4, RUNS).run.name == "b"
-    # It states less than its bound and ends with no run: it is no call of these.
-    assert correlator.find_parent(5.0, "call", 0.25, RUNS) is None
+    assert correlator.match(5.0, "call", 0.4, RUNS).run.name == "b"
+    # It is shorter than the timeout and ends with no run, so it is no call of them.
+    assert correlator.match(5.0, "call", 0.25, RUNS) is None
 
 
-def bounded() -> correlation.CallCorrelator:
+def with_timeout() -> correlation.CallCorrelator:
     correlator = correlation.CallCorrelator()
     correlator.set_called("call", called=True)
-    correlator.find_parent(0.0, "call", 0.7, [])
+    correlator.match(0.0, "call", 0.7, [])
     return correlator
 
 
-def test_a_bounded_call_belongs_to_the_run_whose_call_was_just_answered():
+def test_a_bounded_call_matches_the_run_whose_call_was_just_answered():
     runs = [
         Run(name="first", deadline=7.0, resumed_at=5.0),
         Run(name="waits", deadline=7.1, ended_calls=1, resumed_at=4.9),
@@ -69,30 +66,30 @@
             resumed_at=4.9999,
         ),
     ]
-    assert bounded().find_parent(5.0, "call", 0.7, runs).run.name == "goes-on"
+    assert with_timeout().match(5.0, "call", 0.7, runs).run.name == "goes-on"
 
 
-def test_a_first_bounded_call_belongs_to_a_new_run_of_a_route_that_makes_calls():
+def test_a_first_bounded_call_matches_a_new_run_of_a_route_that_makes_calls():
     runs = [
         Run(name="calls-none", deadline=6.0, expected_calls=0.0),
         Run(name="has-called", deadline=6.1, ended_calls=1),
         Run(name="new", deadline=6.5, resumed_at=4.9),
         Run(name="newer", deadline=6.4, resumed_at=4.95, call_priority=0),
     ]
-    match = bounded().find_parent(5.0, "call", 0.7, runs)
+    match = with_timeout().match(5.0, "call", 0.7, runs)
     assert match.run.name == "new"
-    # It may as well be the other one's, and that one's must not be shed.
+    # It may belong to the other new run, whose calls must not be shed.
     assert match.priority == 0
 
 
-def test_a_route_that_no_server_calls_has_no_bounded_calls():
+def test_a_route_that_no_target_calls_has_no_bounded_calls():
     correlator = correlation.CallCorrelator()
     correlator.set_called("look", called=True)
     correlator.set_called("look", called=False)
-    assert correlator.find_parent(5.0, "look", 0.4, RUNS) is None
+    assert correlator.match(5.0, "look", 0.4, RUNS) is None
 
 
-def test_routes_that_one_service_sends_are_told_from_those_of_all():
+def test_routes_called_by_one_service_are_distinguished_from_those_of_callers():
     callers = correlation.RouteCallers()
     for number in range(300):
         callers.count("call", "desk")
--- a/tests/mesh/test_heartbeats.py
+++ b/tests/mesh/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that reach another daemon than the one beside their target."""
+"""Heartbeats that are sent to another daemon than that of their target."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.mesh import samples
 
 
-def test_a_heartbeat_is_relayed_to_the_daemon_beside_the_target():
+def test_a_heartbeat_is_relayed_to_the_daemon_of_its_target():
     world = samples.world_of(2)
     box, other = world.boxes["box-0"], world.boxes["box-1"]
     world.run(1.0)
--- a/tests/mesh/test_retry_exchange.py
+++ b/tests/mesh/test_retry_exchange.py
@@ -1,4 +1,4 @@
-"""Daemons of one service tell each other how many retries they grant."""
+"""Daemons of one service report their granted retries to each other."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.mesh import samples
 
 
-def shedding(monkeypatch):
-    """Return a world whose targets shed half, and what its daemons send."""
+def shedding_world(monkeypatch):
+    """Return a world whose targets shed half, and counts of sent messages."""
     sent: collections.Counter[str] = collections.Counter()
     encode = messages.encode
 
@@ -24,8 +24,8 @@
     return world, sent
 
 
-def test_each_side_knows_what_the_others_have_granted(monkeypatch):
-    world, _ = shedding(monkeypatch)
+def test_each_daemon_knows_the_grants_of_the_others(monkeypatch):
+    world, _ = shedding_world(monkeypatch)
     samples.load(world, "box-0", 300)
     world.run(0.6)
     granted = {
@@ -34,13 +34,13 @@
     }
     assert all(granted.values())
     for name, box in world.boxes.items():
-        others = box.core.inbound.retry_budget.peer_counts
-        assert len(others) == 3
-        assert sum(others.retries.values()) == sum(granted.values()) - granted[name]
+        peers = box.core.inbound.retry_budget.peers
+        assert len(peers) == 3
+        assert sum(peers.retries.values()) == sum(granted.values()) - granted[name]
 
 
-def test_a_daemon_of_an_earlier_protocol_is_sent_no_counts(monkeypatch):
-    world, sent = shedding(monkeypatch)
+def test_no_counts_are_sent_to_a_daemon_of_an_earlier_protocol(monkeypatch):
+    world, sent = shedding_world(monkeypatch)
     for box in world.boxes.values():
         for peer in box.core.peers.by_address.values():
             peer.protocol_version = messages.RETRY_PROTOCOL - 1
@@ -48,16 +48,16 @@
     assert sent["RetryCounts"] == 0
 
 
-def test_a_calm_fleet_sends_no_counts(monkeypatch):
-    world, sent = shedding(monkeypatch)
+def test_no_counts_are_sent_without_shedding(monkeypatch):
+    world, sent = shedding_world(monkeypatch)
     for box in world.boxes.values():
         box.target.sheds_share = 0.0
     samples.load(world, "box-0", 300)
     assert sent["RetryCounts"] == 0
 
 
-def test_counts_are_sent_no_longer_than_they_matter(monkeypatch):
-    world, sent = shedding(monkeypatch)
+def test_no_counts_are_sent_once_the_grants_have_expired(monkeypatch):
+    world, sent = shedding_world(monkeypatch)
     samples.load(world, "box-0", 100)
     world.run(32.0)
     sent.clear()
@@ -65,19 +65,19 @@
     assert sent["RetryCounts"] == 0
 
 
-# Guards against reports that pass for answers: a daemon whose messages are lost one way
-# was not found silent, and what was sent to it was lost for as long as it reported.
-def test_reports_do_not_hide_that_a_daemon_receives_nothing(monkeypatch):
-    world, _ = shedding(monkeypatch)
+# Guards against reports that count as replies: a daemon that received nothing was not
+# detected as long as it sent reports.
+def test_reports_do_not_hide_that_a_daemon_receives_no_messages(monkeypatch):
+    world, _ = shedding_world(monkeypatch)
     samples.load(world, "box-0", 200)
-    deaf, sender = world.boxes["box-1"], world.boxes["box-0"]
-    world.links.cut = lambda one, other: one is sender and other is deaf
-    since = world.now
+    receiver, sender = world.boxes["box-1"], world.boxes["box-0"]
+    world.links.cut = lambda source, peer: source is sender and peer is receiver
+    cut_at = world.now
     samples.load(world, "box-2", 400)
-    lost = [
+    detected = [
         at
         for at, name, one in world.decisions
         if name == "box-0" and one.kind == "link-lost" and one.inputs["peer"] == "box-1"
     ]
-    assert lost
-    assert lost[0] - since < 3.0
+    assert detected
+    assert detected[0] - cut_at < 3.0
--- a/tests/mesh/test_retry_parts.py
+++ b/tests/mesh/test_retry_parts.py
@@ -1,4 +1,4 @@
-"""The parts of the retry bound that inbound sides keep, added up over a service."""
+"""Retry budgets of the daemons of a service, which together stay within the bound."""
 
 from __future__ import annotations
 
@@ -14,85 +14,85 @@
 
 
 class Service:
-    """The inbound sides of a service, and how the users count their retries."""
+    """The retry budgets of a service, with all counted requests and retries."""
 
     def __init__(self, count: int = TARGETS) -> None:
-        self.sides = [self.side(-1e9, count) for _ in range(count)]
+        self.budgets = [self.budget(-1e9, count) for _ in range(count)]
         self.requests: list[float] = []
         self.retries: list[float] = []
 
-    def side(self, started: float, targets: int = TARGETS) -> retry_budget.RetryBudget:
-        made = retry_budget.RetryBudget(
-            ratio=RATIO, slack=SLACK, window_s=WINDOW_S, started_at=started
+    def budget(self, start: float, targets: int = TARGETS) -> retry_budget.RetryBudget:
+        new_budget = retry_budget.RetryBudget(
+            ratio=RATIO, slack=SLACK, window_s=WINDOW_S, started_at=start
         )
         if targets:
-            made.observe_target_count(targets)
-        return made
+            new_budget.observe_target_count(targets)
+        return new_budget
 
     def request(self, now: float, index: int) -> None:
-        self.sides[index].count_request(now, 1)
+        self.budgets[index].count_request(now, 1)
         self.requests.append(now)
 
     def retry(self, now: float, index: int) -> None:
-        if self.sides[index].grant_rerun(now, makes_calls=False):
+        if self.budgets[index].grant_rerun(now, makes_calls=False):
             self.retries.append(now)
 
     def exchange(self, now: float) -> None:
-        """Have each side report its counts to all others."""
-        for index, side in enumerate(self.sides):
-            counts = side.report(now)
-            for other in self.sides:
-                if counts is not None and other is not side:
+        """Send the counts of each budget to all others."""
+        for index, budget in enumerate(self.budgets):
+            counts = budget.report(now)
+            for other in self.budgets:
+                if counts is not None and other is not budget:
                     other.report_received(now, f"box-{index}", *counts)
 
-    def over(self) -> float:
-        """Return by how much any window has more retries than was agreed."""
-        worst = float("-inf")
+    def excess(self) -> float:
+        """Return the largest excess of the retries in a window over the bound."""
+        excess = float("-inf")
         for end in self.retries:
-            spent = count(self.retries, end)
+            retries = count(self.retries, end)
             ends = (end, end - WINDOW_S / 2, end - WINDOW_S)
-            most = max(count(self.requests, one) for one in ends)
-            worst = max(worst, spent - RATIO * most - SLACK)
-        return worst
+            peak = max(count(self.requests, last) for last in ends)
+            excess = max(excess, retries - RATIO * peak - SLACK)
+        return excess
 
 
 def count(times: list[float], end: float) -> int:
-    return sum(end - WINDOW_S < one <= end for one in times)
+    return sum(end - WINDOW_S < time <= end for time in times)
 
 
-# Guards against the whole slack at each of five sides that have just started: each took
-# itself for the only target until it had counted the others.
-def test_sides_that_know_of_no_other_target_spend_no_slack():
+# Guards against daemons that each grant the whole slack after their start, before they
+# know of other targets.
+def test_daemons_that_know_of_no_other_target_grant_no_slack():
     service = Service()
-    service.sides = [service.side(0.0, targets=0) for _ in range(TARGETS)]
+    service.budgets = [service.budget(0.0, targets=0) for _ in range(TARGETS)]
     for number in range(40 * TARGETS):
         service.retry(0.5 + number * 0.001, number % TARGETS)
     assert len(service.retries) <= SLACK
 
 
-# Guards against slack that is spent anew after each start of a daemon.
-def test_a_side_that_starts_anew_spends_no_slack_again_within_the_window():
+# Guards against slack that is granted again after each restart of a daemon.
+def test_a_restarted_daemon_grants_no_slack_again_within_the_window():
     service = Service()
     for start in range(8):
-        service.sides = [service.side(start * 1.0) for _ in range(TARGETS)]
+        service.budgets = [service.budget(start * 1.0) for _ in range(TARGETS)]
         for number in range(20 * TARGETS):
             service.retry(start + 0.5 + number * 0.001, number % TARGETS)
     assert len(service.retries) <= SLACK
 
 
-# Guards against a slack that a side never gets: a window after its start it has it.
-def test_a_side_has_its_part_of_the_slack_a_window_after_its_start():
+# Guards against a daemon that never grants its part of the slack.
+def test_a_daemon_grants_its_part_of_the_slack_one_window_after_its_start():
     service = Service()
-    service.sides = [service.side(0.0) for _ in range(TARGETS)]
+    service.budgets = [service.budget(0.0) for _ in range(TARGETS)]
     for number in range(20 * TARGETS):
         service.retry(WINDOW_S + 0.6 + number * 0.001, number % TARGETS)
     part = int(SLACK * retry_budget.SLACK_SHARE / TARGETS)
     assert len(service.retries) == part * TARGETS
 
 
-# Guards against twice the bound where requests move from some targets to others: the
-# sum of each side's largest window is more than the largest window of all.
-def test_requests_that_move_to_another_target_are_not_reckoned_with_twice():
+# Guards against twice the bound if requests move between targets: the largest windows
+# of the targets add up to more than the largest window of the service.
+def test_requests_that_move_to_another_target_are_not_counted_twice():
     service = Service()
     for step in range(2000):
         now = step * 0.01
@@ -103,13 +103,13 @@
         if not before:
             for index in (0, 1):
                 service.retry(now, index)
-    assert service.over() <= 0.0
+    assert service.excess() <= 0.0
 
 
-# Guards against the same where five targets take over from each other, and against a
-# bound that is not used.
+# Guards against the same excess with five targets in turn, and against a budget that is
+# hardly used.
 @pytest.mark.parametrize("every_s", [1.0, 3.0, 7.0])
-def test_requests_that_go_from_target_to_target_bring_no_more_retries(every_s):
+def test_requests_that_move_between_targets_add_no_retries(every_s):
     service = Service()
     for step in range(4000):
         now = step * 0.01
@@ -118,14 +118,14 @@
             service.exchange(now)
         for index in range(TARGETS):
             service.retry(now, index)
-    assert service.over() <= 0.0
+    assert service.excess() <= 0.0
     assert len(service.retries) > 0.8 * RATIO * retry_budget.RATIO_SHARE * 4000
 
 
-# Guards against any other way in which parts that hold add up to more than the bound.
+# Guards against other schedules in which the budgets add up to more than the bound.
 @pytest.mark.parametrize("reports", [False, True])
 @pytest.mark.parametrize("seed", range(12))
-def test_sides_stay_within_the_bound_together_whatever_moves_and_restarts(
+def test_budgets_together_stay_within_the_bound_at_random_moves_and_restarts(
     seed, reports
 ):
     rng = random.Random(seed)
@@ -139,7 +139,7 @@
         if rng.random() < 0.003:
             per_step = rng.choice((0, 1, 2, 4))
         if rng.random() < 0.004:
-            service.sides[rng.randrange(TARGETS)] = service.side(now)
+            service.budgets[rng.randrange(TARGETS)] = service.budget(now)
         if reports and step % 50 == 1:
             service.exchange(now)
         for _ in range(per_step):
@@ -147,29 +147,29 @@
             service.request(now, index)
         for index in range(TARGETS):
             service.retry(now, index)
-    assert service.over() <= 0.0
+    assert service.excess() <= 0.0
 
 
-# Guards against a daemon that has reached nobody and holds the whole slack.
-def test_a_daemon_that_starts_behind_a_cut_grants_nothing_from_the_slack():
+# Guards against an isolated daemon that grants the whole slack.
+def test_a_daemon_that_starts_isolated_grants_no_slack():
     world = samples.world_of(5)
-    alone = world.boxes["box-0"]
-    world.links.cut = lambda one, other: alone in (one, other)
-    world.store.cut = lambda box: box is alone
-    world.kill(alone, 0.2)
+    isolated = world.boxes["box-0"]
+    world.links.cut = lambda source, peer: isolated in (source, peer)
+    world.store.cut = lambda box: box is isolated
+    world.kill(isolated, 0.2)
     world.run(12.0)
-    budget = alone.core.inbound.retry_budget
-    now = world.clock(alone)
+    budget = isolated.core.inbound.retry_budget
+    now = world.clock(isolated)
     granted = sum(budget.grant_rerun(now, makes_calls=False) for _ in range(50))
     assert granted == 0
 
 
-# Guards against slack divided by the linked targets alone, where the store's records
-# tell of more.
-def test_targets_that_are_recorded_and_not_linked_share_the_slack():
+# Guards against slack that is divided by the linked targets only, although the store
+# lists more.
+def test_recorded_targets_without_links_share_the_slack():
     world = samples.world_of(5)
-    alone = world.boxes["box-0"]
-    world.links.cut = lambda one, other: alone in (one, other)
-    world.kill(alone, 0.2)
+    isolated = world.boxes["box-0"]
+    world.links.cut = lambda source, peer: isolated in (source, peer)
+    world.kill(isolated, 0.2)
     world.run(12.0)
-    assert alone.core.inbound.retry_budget.target_count == 5
+    assert isolated.core.inbound.retry_budget.target_count == 5
--- a/tests/mesh/test_retry_schedules.py
+++ b/tests/mesh/test_retry_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of restarts, moves and shedding keep the bound on retries."""
+"""Retries stay within their bound in random schedules of faults."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from tests.mesh import retry_schedules
 
 OVER_THE_BOUND = (409, 499, 613)
-"""Seeds over the bound while each start of a daemon brought its part of the slack."""
+"""Seeds that exceeded the bound when each restart of a daemon renewed its slack."""
 NEAR_THE_BOUND = (12, 83, 94, 96, 101, 110)
 
 
-# Guards against parts of the bound that add up to more than it where daemons start anew
-# and requests move while targets shed, in windows as the users count them.
+# Guards against budgets that add up to more than the bound when daemons restart and
+# requests move between boxes while targets shed.
 @pytest.mark.parametrize("seed", OVER_THE_BOUND + NEAR_THE_BOUND)
-def test_retries_stay_within_the_bound_while_much_goes_wrong_at_once(seed):
-    played = retry_schedules.play(seed)
-    assert played.faults == [], played.schedule
-    assert played.retries > 0
+def test_retries_stay_within_the_bound_during_concurrent_faults(seed):
+    result = retry_schedules.play(seed)
+    assert result.faults == [], result.schedule
+    assert result.retries > 0
--- a/tests/mesh/test_shedding.py
+++ b/tests/mesh/test_shedding.py
@@ -3,45 +3,43 @@
 from ferrydeck.mesh.inbound import route_shedding
 
 
-def turned_away(
-    control: route_shedding.RouteShedding, now: float, count: int = 100
-) -> int:
-    return sum(control.shed_next(now) for _ in range(count))
+def count_shed(control: route_shedding.RouteShedding, now: float, n: int = 100) -> int:
+    return sum(control.shed_next(now) for _ in range(n))
 
 
-def test_nothing_is_turned_away_while_answers_are_good():
+def test_nothing_is_shed_without_failures():
     control = route_shedding.RouteShedding()
     for step in range(200):
         control.count_answer(step * 0.02, 0.0)
-    assert turned_away(control, 4.0) == 0
+    assert count_shed(control, 4.0) == 0
 
 
-def test_a_few_failures_turn_nothing_away():
+def test_nothing_is_shed_with_few_failures():
     control = route_shedding.RouteShedding()
     for step in range(200):
         control.count_answer(step * 0.02, float(step % 20 == 0))
-    assert turned_away(control, 4.0) == 0
+    assert count_shed(control, 4.0) == 0
 
 
-def test_many_failures_turn_more_and_more_away_but_never_all():
+def test_many_failures_increase_the_shed_ratio_up_to_its_limit():
     control = route_shedding.RouteShedding()
     for step in range(400):
         control.count_answer(step * 0.02, 1.0)
-    assert 90 <= turned_away(control, 8.0) < 100
+    assert 90 <= count_shed(control, 8.0) < 100
 
 
-def test_good_answers_let_requests_in_again():
+def test_the_shed_ratio_decreases_with_successful_answers():
     control = route_shedding.RouteShedding()
     for step in range(100):
         control.count_answer(step * 0.02, 1.0)
     for step in range(100, 600):
         control.count_answer(step * 0.02, 0.0)
-    assert turned_away(control, 12.0) == 0
+    assert count_shed(control, 12.0) == 0
 
 
-def test_a_quiet_time_counts_as_good_windows():
+def test_the_shed_ratio_decreases_without_answers():
     control = route_shedding.RouteShedding()
     for step in range(100):
         control.count_answer(step * 0.02, 1.0)
-    assert turned_away(control, 2.0) > 50
-    assert turned_away(control, 10.0) == 0
+    assert count_shed(control, 2.0) > 50
+    assert count_shed(control, 10.0) == 0
--- a/tests/mesh/test_target_watch.py
+++ b/tests/mesh/test_target_watch.py
@@ -1,4 +1,4 @@
-"""When a gate opens for its server, also where the health check is wrong."""
+"""When a daemon opens its target, also if the health check is wrong."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     return world.boxes[name].core.inbound.target.phase
 
 
-def test_a_restarted_gate_opens_by_reports_where_the_health_check_says_ill():
+def test_a_restarted_daemon_opens_by_heartbeats_if_the_health_check_fails():
     world = samples.world_of(3)
     world.boxes["box-1"].target.health = False
     world.kill(world.boxes["box-1"], 0.3)
@@ -18,7 +18,7 @@
     assert phase(world, "box-1") == messages.Phase.READY
 
 
-def test_one_report_does_not_open_it():
+def test_one_heartbeat_does_not_open_the_target():
     world = samples.world_of(3)
     box = world.boxes["box-1"]
     box.target.health = False
@@ -30,7 +30,7 @@
     assert phase(world, "box-1") != messages.Phase.READY
 
 
-def test_a_health_check_that_says_well_does_not_open_for_a_lifetime_that_left():
+def test_a_successful_health_check_does_not_open_an_incarnation_that_left():
     world = samples.world_of(3)
     box = world.boxes["box-1"]
     world.targets.drain(box, by_leave=True)
@@ -39,10 +39,10 @@
     world.kill(box, 0.3)
     world.run(5)
     assert phase(world, "box-1") == messages.Phase.LEAVING
-    assert not [one for one in world.targets.runs if one.box == "box-1"]
+    assert not [run for run in world.targets.runs if run.box == "box-1"]
 
 
-def test_a_lone_daemon_opens_without_anybody_else():
+def test_a_single_daemon_opens_its_target():
     world = samples.world_of(1)
     world.kill(world.boxes["box-0"], 0.3)
     world.run(1.5)
