--- a/ferrydeck/mesh/inbound/__init__.py
+++ b/ferrydeck/mesh/inbound/__init__.py
@@ -1,1 +1,1 @@
-"""The inbound side: admits requests to the target of this box."""
+"""The inbound side: admits requests to the local target."""
--- a/tests/mesh/test_calls_of_retries.py
+++ b/tests/mesh/test_calls_of_retries.py
@@ -10,7 +10,7 @@
 from ferrydeck.mesh import messages, policy
 from tests.mesh import samples, simulation
 
-SHED = 0.5
+SHED_RATIO = 0.5
 CALLS = 2
 WINDOW_S = 10.0
 
@@ -90,7 +90,7 @@
 def make_targets_shed(world: simulation.World, *services: str) -> None:
     for box in world.boxes.values():
         if box.target.service in services:
-            box.target.sheds_share = SHED
+            box.target.sheds_share = SHED_RATIO
 
 
 # Guards against uncounted calls of runs that started after another target had rejected
--- a/tests/mesh/test_price_reports.py
+++ b/tests/mesh/test_price_reports.py
@@ -56,14 +56,14 @@
 
 
 def test_a_price_expires_even_if_daemons_report_it_in_circles():
-    one, other = price_reports.PriceTable(), price_reports.PriceTable()
-    one.received(0.0, "plan", report("deep", 150))
-    # Two daemons report all known prices to each other without delay.
+    first, second = price_reports.PriceTable(), price_reports.PriceTable()
+    first.received(0.0, "plan", report("deep", 150))
+    # Two daemons report all known prices to each other every 10 ms.
     for step in range(1, 300):
         now = step * 0.01
-        other.received(now, "desk", one.reports(now - 0.01))
-        one.received(now, "ledger", other.reports(now - 0.01))
-    assert one.price(3.0, "deep") == other.price(3.0, "deep") == 0.0
+        second.received(now, "desk", first.reports(now - 0.01))
+        first.received(now, "ledger", second.reports(now - 0.01))
+    assert first.price(3.0, "deep") == second.price(3.0, "deep") == 0.0
 
 
 def test_a_message_contains_at_most_the_maximum_number_of_prices():
