--- a/ferrydeck/mesh/outbound/request_builder.py
+++ b/ferrydeck/mesh/outbound/request_builder.py
@@ -1,6 +1,5 @@
 """Builds the outbound request for a request from a caller on this box.
 
-Tracks the longest deadline that callers of each route state, and the traffic splits.
 The inbound side finds the parent of a nested request.
 """
 
@@ -109,15 +108,12 @@
     ) -> float:
         """Return for how long a response would be useful, seconds.
 
-        Nested requests are assumed to be sequential: each gets an equal share of the
-        time that its parent has left. Urgent requests are useful until the caller's
-        timeout, others until the latency objective, unless that has passed already.
+        Nested requests are assumed to be sequential and share their parent's time. If
+        the latency objective has passed or priority is high, the timeout applies.
         """
         if parent is not None:
-            expected_calls = self.inbound.costs.route(parent.forward.route).calls
-            share_s = (parent.deadline - now) / max(
-                1.0, expected_calls - parent.ended_calls
-            )
+            expected = self.inbound.costs.route(parent.forward.route).calls
+            share_s = (parent.deadline - now) / max(1.0, expected - parent.ended_calls)
             return min(timeout_s, share_s)
         objective_left_s = route.objective_s - waited_s
         if high_priority or objective_left_s <= 0:
