--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -1,7 +1,7 @@
 """Execution of jobs at the target beside this daemon, from dispatch to full answer.
 
 `admission` decides which job starts next, `idempotency` tracks the keys of requests
-that must not run twice, and `correlation` maps tokens of nested calls to running jobs.
+that must not run twice, and `correlation` finds the job that made a nested call.
 """
 
 from __future__ import annotations
