--- a/ferrydeck/signed/core/membership.py
+++ b/ferrydeck/signed/core/membership.py
@@ -86,7 +86,7 @@
         )
 
     def update_own_record(self, now: float, **changes: object) -> None:
-        """Change this daemon's own record and gossip it."""
+        """Change this daemon's own record and send it to peers."""
         self.own = attrs.evolve(self.own, sequence=self.own.sequence + 1, **changes)
         self.version += 1
         hello = messages.Hello(member=self.own, relay=True)
@@ -103,7 +103,6 @@
 
     def message_received(self, now: float, envelope: messages.Envelope) -> float:
         """Record a message from a peer and return its queueing delay, in seconds."""
-        # Clocks aren't synchronised: the smallest difference is taken as no delay.
         peer = self.peers.get(envelope.box)
         if peer is None or envelope.incarnation > peer.member.incarnation:
             self._add_unknown_peer(now, envelope)
@@ -114,6 +113,7 @@
         if not peer.confirmed and now - peer.last_hello > HELLO_INTERVAL_S:
             peer.last_hello = now
             self.send(peer, messages.Hello(member=self.own))
+        # Clocks aren't synchronised: the smallest difference is taken as no delay.
         difference = now - envelope.sent
         peer.min_clock_difference = min(peer.min_clock_difference, difference)
         return difference - peer.min_clock_difference
@@ -149,7 +149,6 @@
 
     def sync_list(self, now: float, boxes: tuple[object, ...]) -> list[messages.Member]:
         """Merge the platform's box list; return the boxes newly listed as leaving."""
-        # The list lags: a restarted box may still be listed as leaving for some time.
         leaving = []
         is_first, self._list_received = not self._list_received, True
         for entry in boxes:
@@ -157,6 +156,7 @@
             self._listed_states[entry.box] = entry.state
             if entry.box not in self.peers and entry.box != self.own.box:
                 self._send_to(entry.address, messages.Hello(member=self.own))
+            # Only a change counts: a restarted box may still be listed as leaving.
             now_leaving = before != entry.state == messages.State.LEAVING
             if now_leaving and not is_first and entry.box in self.peers:
                 leaving.append(self.peers[entry.box].member)
