--- a/ferrydeck/mesh/context.py
+++ b/ferrydeck/mesh/context.py
@@ -62,7 +62,7 @@
     switches: switches.Switches = switches.Switches()
     policy: policy.Policy | None = None
     stopping: bool = False
-    out: list[effects.Effect] = attrs.Factory(list)
+    pending_effects: list[effects.Effect] = attrs.Factory(list)
     _timers: list[tuple[float, int, Any]] = attrs.Factory(list)
     _last: int = 0
 
@@ -71,18 +71,20 @@
         """The version of the policy in force; 0 for none."""
         return self.policy.version if self.policy is not None else 0
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         """Return a number that this process has not used before."""
         self._last += 1
         return self._last
 
     def emit(self, effect: effects.Effect) -> None:
         """Ask for an effect."""
-        self.out.append(effect)
+        self.pending_effects.append(effect)
 
-    def send(self, address: str, message: messages.Any) -> None:
+    def send(self, address: str, message: messages.AnyMessage) -> None:
         """Send a message on the link to a daemon."""
-        self.out.append(effects.Send(address=address, message=message))
+        self.pending_effects.append(
+            effects.SendOutgoing(address=address, message=message)
+        )
 
     def note(
         self,
@@ -94,7 +96,7 @@
         **inputs: object,
     ) -> None:
         """Have a decision logged and counted."""
-        self.out.append(
+        self.pending_effects.append(
             effects.Decision(
                 kind=kind,
                 request_id=request_id,
@@ -104,11 +106,11 @@
             )
         )
 
-    def at(self, when: float, timer: Any) -> None:
+    def set_timer(self, when: float, timer: Any) -> None:
         """Have `timer` handled at `when`; its handler ignores a stale one."""
-        heapq.heappush(self._timers, (when, self.number(), timer))
+        heapq.heappush(self._timers, (when, self.next_number(), timer))
 
-    def due(self, now: float) -> Any | None:
+    def pop_due_timer(self, now: float) -> Any | None:
         """Remove and return a timer that is due, or return `None`."""
         if not self._timers or self._timers[0][0] > now:
             return None
--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from ferrydeck.mesh import context, effects, events, leaving, messages, switches
+from ferrydeck.mesh import context, effects, events, messages, shutdown, switches
 from ferrydeck.mesh.inbound import (
     heartbeats,
     inbound,
@@ -31,7 +31,7 @@
 from ferrydeck.mesh.poison import crash_detection, records, tracker
 from ferrydeck.mesh.teams import access, policy_freshness, quota, quota_exchange
 
-SETTLE_S = 0.7
+MAX_DISCOVERY_S = 0.7
 """How long a daemon that starts looks for other daemons before it reports itself
 ready, seconds: seven dials of a box in its own data centre."""
 
@@ -51,12 +51,12 @@
     outbound: outbound.Outbound = attrs.field(init=False)
     registry: registry.Registry = attrs.field(init=False)
     policy_freshness: policy_freshness.PolicyFreshness = attrs.field(init=False)
-    coordination: quota_exchange.QuotaExchange = attrs.field(init=False)
+    quota_exchange: quota_exchange.QuotaExchange = attrs.field(init=False)
     heartbeats: heartbeats.Heartbeats = attrs.field(init=False)
     incoming_links: incoming_links.IncomingLinks = attrs.field(init=False)
     policies: policy_distribution.PolicyDistribution = attrs.field(init=False)
     retry_exchange: retry_exchange.RetryExchange = attrs.field(init=False)
-    leaving: leaving.Leaving = attrs.field(init=False)
+    shutdown: shutdown.Shutdown = attrs.field(init=False)
     _started: float = 0.0
 
     def __attrs_post_init__(self) -> None:
@@ -79,7 +79,7 @@
             ttl_s=self.limits.revoke_s
         )
         quota_enforcer = quota.QuotaEnforcer(rng=self.rng)
-        self.coordination = quota_exchange.QuotaExchange(
+        self.quota_exchange = quota_exchange.QuotaExchange(
             ctx=ctx, peers=self.peers, quota_enforcer=quota_enforcer
         )
         self.outbound = outbound.Outbound(
@@ -104,14 +104,14 @@
             inbound=self.inbound,
             splits=self.outbound.builder.splits,
             policy_freshness=self.policy_freshness,
-            quota_exchange=self.coordination,
+            quota_exchange=self.quota_exchange,
         )
         self.retry_exchange = retry_exchange.RetryExchange(
             ctx=ctx,
             peers=self.peers,
             budget=self.inbound.retry_budget,
         )
-        self.leaving = leaving.Leaving(
+        self.shutdown = shutdown.Shutdown(
             ctx=ctx, inbound=self.inbound, outbound=self.outbound
         )
         self.registry = registry.Registry(
@@ -127,7 +127,7 @@
     def start(self, now: float) -> list[effects.Effect]:
         """Return the effects of the start."""
         self._started = now
-        self.coordination.quota_enforcer.started_at = now
+        self.quota_exchange.quota_enforcer.started_at = now
         self.inbound.target.start(now)
         self.seeds_changed(now, self.seeds)
         self.peers.start(now)
@@ -156,7 +156,7 @@
         if self.ctx.policy.teams and not self.policy_freshness.is_fresh(now):
             # A daemon that knows whether keys still count serves callers better.
             return False
-        if now - self._started >= SETTLE_S:
+        if now - self._started >= MAX_DISCOVERY_S:
             return True
         return self.registry.records_read and self._all_linked()
 
@@ -165,9 +165,9 @@
         return all(peer.link is peers.LinkState.UP for peer in known)
 
     def _collect(self, now: float) -> list[effects.Effect]:
-        while (timer := self.ctx.due(now)) is not None:
+        while (timer := self.ctx.pop_due_timer(now)) is not None:
             self._on_timer(now, timer)
-        out, self.ctx.out = self.ctx.out, []
+        out, self.ctx.pending_effects = self.ctx.pending_effects, []
         return out
 
     def _on_event(self, now: float, event: events.Event) -> None:
@@ -184,7 +184,7 @@
                 self.inbound.target_answer_part(now, event)
             case events.TargetFailed():
                 self.inbound.crashes.request_failed(now, event)
-            case events.CallerGone(conn=conn):
+            case events.CallerDisconnected(conn=conn):
                 self.outbound.caller_disconnected(now, conn)
             case events.CallerRead(conn=conn, size=size):
                 self.outbound.caller_read(now, conn, size)
@@ -204,8 +204,8 @@
             case events.PolicyRead(policy=new, source=source):
                 self.policies.apply(now, new, source)
             case events.StopRequested():
-                self.leaving.begin(now)
-            case events.Wake():
+                self.shutdown.begin(now)
+            case events.TimersDue():
                 pass
 
     def _on_timer(self, now: float, timer: Any) -> None:
@@ -228,11 +228,11 @@
                 self._tick_peers(now)
                 self.registry.step(now)
             case quota_exchange.QuotaReportTimer():
-                self.coordination.send_reports(now)
+                self.quota_exchange.send_reports(now)
             case heartbeats.RelayTimer(number=number):
                 self.heartbeats.end_relay(number, taken=False)
-            case leaving.LeaveTimer():
-                self.leaving.check(now)
+            case shutdown.ShutdownTimer():
+                self.shutdown.check(now)
 
     def _tick_peers(self, now: float) -> None:
         self._count_targets(now)
@@ -250,7 +250,7 @@
         Others may be unknown until the records were read, and the daemons that start
         together have found each other.
         """
-        if not self.registry.records_read or now - self._started < SETTLE_S:
+        if not self.registry.records_read or now - self._started < MAX_DISCOVERY_S:
             return
         budget = self.inbound.retry_budget
         if self.registry.has_restarted:
@@ -262,7 +262,9 @@
         if peer is not None:
             self.outbound.link_down(now, peer)
 
-    def _on_outgoing(self, now: float, address: str, message: messages.Any) -> None:
+    def _on_outgoing(
+        self, now: float, address: str, message: messages.AnyMessage
+    ) -> None:
         """Act on a message of a daemon that this one dialled."""
         peer = self.peers.message_received(now, address)
         if peer is None:
@@ -286,7 +288,9 @@
                 self.policies.request_newer_policy(now, peer, message.version)
             case messages.Welcome():
                 self.peers.handshake_done(now, peer, message)
-                self.inbound.target.receive_peer_report(now, message.left)
+                self.inbound.target.receive_peer_report(
+                    now, message.departed_incarnations
+                )
                 self.policies.request_newer_policy(
                     now, peer, message.target_state.version
                 )
@@ -298,12 +302,12 @@
             case messages.HeartbeatAck(number=number, taken=taken):
                 self.heartbeats.end_relay(number, taken=taken)
             case messages.TeamGrants():
-                self.coordination.grants_received(now, address, message)
+                self.quota_exchange.grants_received(now, address, message)
             case messages.SuspectReports(suspects=reports):
                 changed = self.inbound.suspects.records.merge(now, reports)
                 self.inbound.crashes.suspects_changed(now, changed)
 
-    def _on_incoming(self, now: float, link: int, message: messages.Any) -> None:
+    def _on_incoming(self, now: float, link: int, message: messages.AnyMessage) -> None:
         """Act on a message of a daemon that dialled this one."""
         if isinstance(message, messages.Hello):
             self._hello_received(now, link, message)
@@ -333,21 +337,21 @@
             case messages.RetryCounts():
                 self.retry_exchange.received(now, incoming.address, message)
             case messages.TeamUsages():
-                self.coordination.usages_received(now, link, message)
+                self.quota_exchange.usages_received(now, link, message)
             case messages.TeamGrants():
-                self.coordination.grants_received(now, incoming.address, message)
+                self.quota_exchange.grants_received(now, incoming.address, message)
 
     def _hello_received(self, now: float, link: int, hello: messages.Hello) -> None:
         self.incoming_links.add(now, link, hello)
         self.peers.add_address(now, hello.address)
         self.peers.set_protocol_version(hello.address, hello.protocol)
-        self.inbound.target.receive_peer_report(now, hello.left)
+        self.inbound.target.receive_peer_report(now, hello.departed_incarnations)
         welcome = messages.Welcome(
             box=self.identity.box,
             incarnation=self.identity.incarnation,
             data_centre=self.identity.data_centre,
             target_state=self.inbound.state(now),
-            left=self.peers.departed_incarnations(hello.box),
+            departed_incarnations=self.peers.departed_incarnations(hello.box),
             sent_s=now,
         )
         self.incoming_links.send(link, welcome)
@@ -357,11 +361,14 @@
             hello.data_centre != self.identity.data_centre
             and self.switches.compress_far
         ):
-            self.ctx.emit(effects.DeflateBack(link=link))
+            self.ctx.emit(effects.DeflateIncoming(link=link))
         self.policies.request_newer_policy_back(now, link, hello.version)
 
     def _reply(
-        self, now: float, req: inbound_request.InboundRequest, message: messages.Any
+        self,
+        now: float,
+        req: inbound_request.InboundRequest,
+        message: messages.AnyMessage,
     ) -> None:
         """Send a message of the inbound side to where its request began."""
         if req.link != inbound.LOCAL_LINK:
--- a/ferrydeck/mesh/daemon.py
+++ b/ferrydeck/mesh/daemon.py
@@ -30,8 +30,8 @@
             target_address=cfg.target,
         ),
         rng=random.Random(),
-        limits=settings.limits_of(cfg),
-        switches=settings.switches_of(cfg),
+        limits=settings.read_limits(cfg),
+        switches=settings.read_switches(cfg),
         seeds=cfg.seed_links,
     )
 
--- a/ferrydeck/mesh/effects.py
+++ b/ferrydeck/mesh/effects.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Abort:
+class AbortReply:
     """End a caller's connection in the middle of an answer."""
 
     conn: int
@@ -59,40 +59,40 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Deflate:
+class DeflateOutgoing:
     """Compress what is sent on the link to a daemon."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
-class DeflateBack:
+class DeflateIncoming:
     """Compress what is sent on a link that another daemon dialled."""
 
     link: int
 
 
 @attrs.define(kw_only=True, frozen=True)
-class HangUp:
+class CloseLink:
     """Close the link to a daemon."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Send:
+class SendOutgoing:
     """Send a message on a link that was dialled from here."""
 
     address: str
-    message: messages.Any
+    message: messages.AnyMessage
 
 
 @attrs.define(kw_only=True, frozen=True)
-class SendBack:
+class SendIncoming:
     """Send a message on a link that another daemon dialled."""
 
     link: int
-    message: messages.Any
+    message: messages.AnyMessage
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -121,7 +121,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class ReadTarget:
+class ReadAnswer:
     """Read further bytes of a long answer from the target."""
 
     dispatch: int
@@ -144,7 +144,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class AskStore:
+class CallStore:
     """Send a request to the platform's store."""
 
     request: store.Request
@@ -159,7 +159,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class UseCallerLimits:
+class SetCallerLimits:
     """Apply changed limits on what callers may send (`policy.CallerLimits`)."""
 
     head_bytes: int
@@ -182,7 +182,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Finished:
+class RequestFinished:
     """Count a request that has its final answer, and its time."""
 
     route: str
@@ -196,31 +196,31 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class End:
+class Exit:
     """End the process."""
 
 
 Effect = (
     Reply
     | ReplyPart
-    | Abort
+    | AbortReply
     | Reject
     | Dial
-    | Deflate
-    | DeflateBack
-    | HangUp
-    | Send
-    | SendBack
+    | DeflateOutgoing
+    | DeflateIncoming
+    | CloseLink
+    | SendOutgoing
+    | SendIncoming
     | Dispatch
     | CancelDispatch
-    | ReadTarget
+    | ReadAnswer
     | Probe
     | AckHeartbeat
-    | AskStore
+    | CallStore
     | ReadPolicy
-    | UseCallerLimits
+    | SetCallerLimits
     | Decision
-    | Finished
+    | RequestFinished
     | StopAccepting
-    | End
+    | Exit
 )
--- a/ferrydeck/mesh/events.py
+++ b/ferrydeck/mesh/events.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class CallerGone:
+class CallerDisconnected:
     """A caller closed its connection before its answer was out."""
 
     conn: int
@@ -57,7 +57,7 @@
     """A link that was dialled ended, or could not be made."""
 
     address: str
-    made: bool
+    was_up: bool
     """Whether it had been up."""
 
 
@@ -66,7 +66,7 @@
     """A message on a link that was dialled from here."""
 
     address: str
-    message: messages.Any
+    message: messages.AnyMessage
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -74,7 +74,7 @@
     """A message on a link that another daemon dialled."""
 
     link: int
-    message: messages.Any
+    message: messages.AnyMessage
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -105,7 +105,7 @@
 
     not_run: bool = False
     """The target states that it did not run the request."""
-    marked_whole: bool = False
+    confirmed_complete: bool = False
     """The answer carries the target's confirmation that it is whole."""
     target_id: str = ""
     load: TargetLoad | None = None
@@ -145,7 +145,7 @@
 class ProbeAnswered:
     """The health check of the target was answered, or failed."""
 
-    well: bool
+    healthy: bool
     """Whether the answer states good health."""
     target_id: str
     slots: int
@@ -205,13 +205,13 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Wake:
+class TimersDue:
     """Timers are due."""
 
 
 Event = (
     RequestReceived
-    | CallerGone
+    | CallerDisconnected
     | CallerRead
     | OutgoingLinkUp
     | OutgoingLinkDown
@@ -226,5 +226,5 @@
     | StoreAnswered
     | PolicyRead
     | StopRequested
-    | Wake
+    | TimersDue
 )
--- a/ferrydeck/mesh/inbound/admission.py
+++ b/ferrydeck/mesh/inbound/admission.py
@@ -90,7 +90,7 @@
         return Rejected(reason=messages.Reason.WRONG_INCARNATION)
     if notice_stalled and _stalled(inputs):
         return Rejected(reason=messages.Reason.CLOSED)
-    if forward.lowest and shedder.should_shed(now, forward):
+    if forward.sheddable and shedder.should_shed(now, forward):
         return Rejected(reason=messages.Reason.SHED)
     if forward.retry is not messages.Retry.MAY_HAVE_RUN:
         return ADMITTED
--- a/ferrydeck/mesh/inbound/crash_handling.py
+++ b/ferrydeck/mesh/inbound/crash_handling.py
@@ -70,10 +70,14 @@
         verdict = detector.verdict(now, self.runs.by_dispatch)
         match verdict:
             case crash_detection.Verdict.UNDECIDED:
-                self.ctx.at(detector.settle_deadline(), crash_detection.VerdictTimer())
+                self.ctx.set_timer(
+                    detector.settle_deadline(), crash_detection.VerdictTimer()
+                )
                 return
             case crash_detection.Verdict.ALL_LOST:
-                self.ctx.at(detector.confirm_deadline(), crash_detection.VerdictTimer())
+                self.ctx.set_timer(
+                    detector.confirm_deadline(), crash_detection.VerdictTimer()
+                )
                 return
         lost = detector.take_lost(self.runs.by_dispatch)
         reason = messages.Reason.TARGET_LOST
@@ -108,4 +112,6 @@
         if not detector.add(now, req, self.runs.by_dispatch):
             return
         self.target.check(now)
-        self.ctx.at(now + crash_detection.SETTLE_TIME_S, crash_detection.VerdictTimer())
+        self.ctx.set_timer(
+            now + crash_detection.SETTLE_TIME_S, crash_detection.VerdictTimer()
+        )
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -76,7 +76,7 @@
         )
         self.inbound.target.heartbeat(now, heartbeat)
         ack = messages.HeartbeatAck(number=relay.number, taken=True)
-        self.ctx.emit(effects.SendBack(link=link, message=ack))
+        self.ctx.emit(effects.SendIncoming(link=link, message=ack))
 
     def end_relay(self, number: int, *, taken: bool) -> None:
         """Acknowledge a relayed heartbeat, after its acknowledgement or timeout."""
@@ -87,9 +87,9 @@
     def _send_relay(
         self, now: float, peer: peers.Peer, heartbeat: events.Heartbeat
     ) -> None:
-        number = self.ctx.number()
+        number = self.ctx.next_number()
         self._relays[number] = heartbeat.conn
-        self.ctx.at(now + RELAY_TIMEOUT_S, RelayTimer(number=number))
+        self.ctx.set_timer(now + RELAY_TIMEOUT_S, RelayTimer(number=number))
         relay = messages.HeartbeatRelay(
             number=number,
             target_id=heartbeat.target_id,
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -46,7 +46,7 @@
     """Admits requests to the local target and returns its answers."""
 
     ctx: context.Context
-    reply: Callable[[float, inbound_request.InboundRequest, messages.Any], None]
+    reply: Callable[[float, inbound_request.InboundRequest, messages.AnyMessage], None]
     """Sends a message to the daemon that forwarded a request, possibly this one."""
     announce: Callable[[float], None]
     """Sends the target state to all other daemons."""
@@ -179,7 +179,7 @@
                 self.results.send_rejection(now, req, reason)
                 return
         self.runs.admit(req)
-        if forward.first:
+        if forward.first_attempt:
             # The target of the first attempt has counted the offered load of a retry.
             service_time_s = self.costs.service_time_s(forward.route)
             self.costs.slot_price.add_offered(service_time_s)
@@ -233,7 +233,7 @@
         """Read `size` more bytes of a streamed answer."""
         req = self.runs.admitted(link, number)
         if req is not None:
-            self.ctx.emit(effects.ReadTarget(dispatch=req.dispatch, size=size))
+            self.ctx.emit(effects.ReadAnswer(dispatch=req.dispatch, size=size))
 
     def target_answered(self, now: float, event: events.TargetAnswered) -> None:
         """Return the target's answer, or the first part of a streamed one."""
@@ -245,7 +245,7 @@
         if facts.not_run:
             self._target_rejected(now, req, facts)
             return
-        if 200 <= event.status < 300 and not facts.marked_whole:
+        if 200 <= event.status < 300 and not facts.confirmed_complete:
             self.results.fail(now, req, messages.Reason.BAD_ANSWER)
             self.ctx.emit(effects.CancelDispatch(dispatch=event.dispatch))
             return
@@ -276,7 +276,7 @@
         left_s = forward.left_s - delay_s
         service_time_s = self.costs.service_time_s(forward.route)
         return inbound_request.InboundRequest(
-            dispatch=self.ctx.number(),
+            dispatch=self.ctx.next_number(),
             link=link,
             forward=forward,
             arrived_at=now,
@@ -286,7 +286,7 @@
 
     def _count_arrival(self, now: float, forward: messages.Forward) -> None:
         self.callers.count(forward.route, forward.caller)
-        if forward.first:
+        if forward.first_attempt:
             self.retry_budget.count_request(now, forward.priority)
         if forward.retry is messages.Retry.CALL:
             self.retry_budget.count_retry(now)
@@ -349,7 +349,7 @@
             now,
             req,
             messages.Reason.TARGET_REJECTED,
-            target_asked=True,
+            rejected_by_target=True,
             retry_granted=granted,
             inputs={} if granted else self.retry_budget.snapshot(),
         )
@@ -361,7 +361,9 @@
             return False
         by_priority = self.ctx.switches.keep_offers_for_urgent
         priority = req.priority if by_priority else 0
-        return self.retry_budget.grant_retry(now, priority, first=req.forward.begins)
+        return self.retry_budget.grant_retry(
+            now, priority, first=req.forward.is_first_call
+        )
 
     def _target_opened(self, now: float) -> None:
         """Announce that the target accepts requests."""
--- a/ferrydeck/mesh/inbound/load_shedding.py
+++ b/ferrydeck/mesh/inbound/load_shedding.py
@@ -44,7 +44,7 @@
         ratio = 0.0
         if self.ctx.switches.price_slots:
             ratio = 1.0 - math.exp(-self.price(now, forward.route))
-        if forward.came_back and self.ctx.switches.favour_returned:
+        if forward.caller_retry and self.ctx.switches.favour_returned:
             ratio *= ratio
         return self.routes.route(forward.route).shed_next(now, ratio)
 
--- a/ferrydeck/mesh/inbound/request_queue.py
+++ b/ferrydeck/mesh/inbound/request_queue.py
@@ -173,4 +173,4 @@
         queued = self.waiting or self.suspects.isolation.waiting
         if queued and not self._timer_set:
             self._timer_set = True
-            self.ctx.at(now + CHECK_INTERVAL_S, QueueTimer())
+            self.ctx.set_timer(now + CHECK_INTERVAL_S, QueueTimer())
--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -32,7 +32,7 @@
     """Sends the results of requests."""
 
     ctx: context.Context
-    send: Callable[[float, inbound_request.InboundRequest, messages.Any], None]
+    send: Callable[[float, inbound_request.InboundRequest, messages.AnyMessage], None]
     """Sends a message to the daemon that forwarded a request, possibly this one."""
     load: Callable[[float], messages.Load]
     """Returns the load of the local target."""
@@ -82,7 +82,7 @@
         req: inbound_request.InboundRequest,
         reason: messages.Reason,
         *,
-        target_asked: bool = False,
+        rejected_by_target: bool = False,
         retry_granted: bool = False,
         inputs: Mapping[str, object] = NO_INPUTS,
     ) -> None:
@@ -96,7 +96,7 @@
             number=req.forward.number,
             reason=reason,
             retry_after_s=self._retry_after_s(req, reason),
-            target_asked=target_asked,
+            rejected_by_target=rejected_by_target,
             retry_granted=retry_granted,
             load=self.load(now),
             called=self.callers.called_by_targets(req.forward.route),
--- a/ferrydeck/mesh/inbound/target_watch.py
+++ b/ferrydeck/mesh/inbound/target_watch.py
@@ -89,7 +89,7 @@
     def start(self, now: float) -> None:
         """Start to wait for the report of another daemon."""
         self._peer_report_deadline = now + PEER_REPORT_TIMEOUT_S
-        self.ctx.at(self._peer_report_deadline, ProbeTimer())
+        self.ctx.set_timer(self._peer_report_deadline, ProbeTimer())
 
     def probe(self, now: float) -> None:
         """Send a health check to a target that is not open."""
@@ -111,12 +111,12 @@
         """Open a target that is healthy, not leaving, and has stated its id."""
         self._probing = False
         if (
-            not event.well
+            not event.healthy
             or not event.target_id
             or self._may_have_left(event.target_id)
         ):
             if self.phase is messages.Phase.UNKNOWN:
-                self.ctx.at(now + PROBE_RETRY_INTERVAL_S, ProbeTimer())
+                self.ctx.set_timer(now + PROBE_RETRY_INTERVAL_S, ProbeTimer())
             return
         self.slots = event.slots or self.slots
         same = event.target_id == incarnations.id_of(self.incarnation)
@@ -221,7 +221,7 @@
         """Store the sequence number of a heartbeat, and drop the oldest incarnation."""
         target_id = incarnations.id_of(incarnation)
         newest = self._newest.get(target_id, incarnations.UNKNOWN)
-        self._newest[target_id] = max(newest, incarnations.born(incarnation))
+        self._newest[target_id] = max(newest, incarnations.started_ms(incarnation))
         self._sequences.pop(incarnation, None)
         self._sequences[incarnation] = sequence
         if len(self._sequences) > MAX_INCARNATIONS:
@@ -230,7 +230,7 @@
     def _forget(self, incarnation: str) -> None:
         del self._sequences[incarnation]
         target_id = incarnations.id_of(incarnation)
-        if self._newest.get(target_id) == incarnations.born(incarnation):
+        if self._newest.get(target_id) == incarnations.started_ms(incarnation):
             del self._newest[target_id]
 
     def _open(self, now: float, incarnation: str, reason: str) -> None:
@@ -248,7 +248,7 @@
         if incarnation in self.left:
             return
         self.left.add(incarnation)
-        if not incarnations.born(incarnation):
+        if not incarnations.started_ms(incarnation):
             self._left_at[incarnation] = now
         self.ctx.note("server-leaving", instance=incarnation, reason=reason)
         if not self.incarnation or self._is_current(incarnation):
--- a/ferrydeck/mesh/incarnations.py
+++ b/ferrydeck/mesh/incarnations.py
@@ -23,6 +23,6 @@
     return incarnation.partition(MARK)[0]
 
 
-def born(incarnation: str) -> int:
+def started_ms(incarnation: str) -> int:
     """Return when it was born, milliseconds since 1970; `UNKNOWN` if not stated."""
     return int(incarnation.partition(MARK)[2] or UNKNOWN)
--- a/ferrydeck/mesh/members/incoming_links.py
+++ b/ferrydeck/mesh/members/incoming_links.py
@@ -45,11 +45,11 @@
         """Remove a closed link."""
         self.by_id.pop(link_id, None)
 
-    def send(self, link_id: int, message: messages.Any) -> None:
+    def send(self, link_id: int, message: messages.AnyMessage) -> None:
         """Send a message on one link."""
-        self.ctx.emit(effects.SendBack(link=link_id, message=message))
+        self.ctx.emit(effects.SendIncoming(link=link_id, message=message))
 
-    def broadcast(self, message: messages.Any) -> None:
+    def broadcast(self, message: messages.AnyMessage) -> None:
         """Send a message on all links."""
         for link_id in self.by_id:
             self.send(link_id, message)
--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -51,7 +51,7 @@
 
     def start(self, now: float) -> None:
         """Schedule the first check of the links."""
-        self.ctx.at(now + LINK_CHECK_INTERVAL_S, LinkCheckTimer())
+        self.ctx.set_timer(now + LINK_CHECK_INTERVAL_S, LinkCheckTimer())
 
     def add_record(self, now: float, record: store.BoxRecord) -> None:
         """Add or update a daemon by its record."""
@@ -125,7 +125,7 @@
 
         Idle links are checked once a second only, as all they need is a rare ping.
         """
-        self.ctx.at(now + LINK_CHECK_INTERVAL_S, LinkCheckTimer())
+        self.ctx.set_timer(now + LINK_CHECK_INTERVAL_S, LinkCheckTimer())
         idle_interval_s = failure_detector.idle_ping_interval_s(len(self.by_address))
         for peer in self._peers_to_check(now):
             self._check_link(now, peer, idle_interval_s)
@@ -159,7 +159,7 @@
             data_centre=identity.data_centre,
             version=self.ctx.version,
             sent_s=now,
-            left=self.departed_incarnations(peer.box),
+            departed_incarnations=self.departed_incarnations(peer.box),
         )
         self.send(now, peer, hello)
 
@@ -185,7 +185,7 @@
             peer.data_centre != self.ctx.identity.data_centre
             and self.ctx.switches.compress_far
         ):
-            self.ctx.emit(effects.Deflate(address=peer.address))
+            self.ctx.emit(effects.DeflateOutgoing(address=peer.address))
         self.ctx.note(
             "link-regained",
             peer=peer.box,
@@ -232,7 +232,7 @@
         peer.was_suspect = False
         return peer
 
-    def send(self, now: float, peer: peers.Peer, message: messages.Any) -> None:
+    def send(self, now: float, peer: peers.Peer, message: messages.AnyMessage) -> None:
         """Send a message to a daemon whose link is up."""
         self._active[peer.address] = peer
         peer.last_sent_at = now
@@ -241,7 +241,7 @@
 
     def close_link(self, now: float, peer: peers.Peer, reason: str) -> None:
         """Close a link; it is redialled later."""
-        self.ctx.emit(effects.HangUp(address=peer.address))
+        self.ctx.emit(effects.CloseLink(address=peer.address))
         self._mark_down(now, peer, reason)
 
     def find_by_ip(self, ip: str) -> peers.Peer | None:
--- a/ferrydeck/mesh/members/policy_distribution.py
+++ b/ferrydeck/mesh/members/policy_distribution.py
@@ -50,7 +50,7 @@
         self.quota_exchange.policy_applied(now)
         limits = new.caller_limits
         self.ctx.emit(
-            effects.UseCallerLimits(
+            effects.SetCallerLimits(
                 head_bytes=limits.head_bytes,
                 body_bytes=limits.body_bytes,
                 head_s=limits.head_s,
--- a/ferrydeck/mesh/members/registry.py
+++ b/ferrydeck/mesh/members/registry.py
@@ -190,7 +190,7 @@
             self.ctx.policy.revision = 0
         self._lease = 0
         self._written_at = None
-        for request_type in typing.get_args(store.Numbered):
+        for request_type in typing.get_args(store.EraScoped):
             self._outstanding.pop(request_type, None)
 
     def _is_from_other_era(self, request: store.Request, era: int) -> bool:
@@ -203,7 +203,7 @@
             return False
         if era != self.era:
             return True
-        return isinstance(request, store.Numbered) and request.era != era
+        return isinstance(request, store.EraScoped) and request.era != era
 
     def _handle_outdated_answer(
         self, now: float, request: store.Request, result: store.Result
@@ -429,4 +429,4 @@
             return
         self._outstanding[type(request)] = request
         self._last_request_at = self._last_step_at
-        self.ctx.emit(effects.AskStore(request=request))
+        self.ctx.emit(effects.CallStore(request=request))
--- a/ferrydeck/mesh/messages.py
+++ b/ferrydeck/mesh/messages.py
@@ -132,7 +132,7 @@
     """Version of the policy in force at the sender; 0 for none."""
     sent_s: float
     """When it was sent, by the sender's clock, seconds."""
-    left: list[str]
+    departed_incarnations: list[str]
     """Incarnations of the receiver's target that the sender knows to have left."""
 
 
@@ -143,7 +143,7 @@
     incarnation: int
     data_centre: str
     target_state: TargetState
-    left: list[str]
+    departed_incarnations: list[str]
     """Incarnations of the receiver's target that the sender knows to have left."""
     sent_s: float
 
@@ -212,15 +212,15 @@
     route: str
     priority: int
     """Place in the order of shedding; 0 is shed last."""
-    begins: bool
+    is_first_call: bool
     """Whether it is the first call of a run: nothing is lost yet if it fails."""
-    lowest: bool
+    sheddable: bool
     """Whether it is a caller's own request of the priority that is shed first."""
     retryable: bool
     """Whether it may run more than once."""
-    came_back: bool
+    caller_retry: bool
     """Whether its caller was rejected before and came back later."""
-    first: bool
+    first_attempt: bool
     """Whether it was sent to no daemon before."""
     retry: Retry
 
@@ -296,7 +296,7 @@
     reason: str
     retry_after_s: float
     """When the caller may come back, seconds."""
-    target_asked: bool
+    rejected_by_target: bool
     """Whether the target itself was asked and rejected it."""
     retry_granted: bool
     """Whether a target may be asked again (`retry_budget`); only where one was."""
@@ -371,7 +371,7 @@
     retries: list[int]
 
 
-Any = (
+AnyMessage = (
     TargetState
     | Hello
     | Welcome
@@ -397,14 +397,14 @@
 )
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder = msgspec.msgpack.Decoder(Any)
+_decoder = msgspec.msgpack.Decoder(AnyMessage)
 
 
-def encode(message: Any) -> bytes:
+def encode(message: AnyMessage) -> bytes:
     """Return the bytes of a message."""
     return _encoder.encode(message)
 
 
-def decode(data: bytes) -> Any:
+def decode(data: bytes) -> AnyMessage:
     """Return the message in `data`; raises `msgspec.DecodeError`."""
     return _decoder.decode(data)
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -76,7 +76,7 @@
         reason = decision.reason if decision.outcome != "answered" else ""
         self._child(self.decisions, decision.kind, decision.outcome, str(reason)).inc()
 
-    def finished(self, done: effects.Finished) -> None:
+    def finished(self, done: effects.RequestFinished) -> None:
         """Record how long a request took."""
         self._child(self.seconds, done.route, done.outcome).observe(done.seconds)
 
--- a/ferrydeck/mesh/net/driver.py
+++ b/ferrydeck/mesh/net/driver.py
@@ -69,7 +69,7 @@
             self._reload()
         wake = self.core.next_wake()
         if wake is not None and wake <= now:
-            self.feed(events.Wake())
+            self.feed(events.TimersDue())
             wake = self.core.next_wake()
         if now >= self._sweep_at:
             self._sweep(now)
@@ -93,11 +93,11 @@
         match effect:
             case effects.Decision():
                 self._decided(effect)
-            case effects.Send(address=address, message=message):
+            case effects.SendOutgoing(address=address, message=message):
                 self.links.send_to(address, message)
-            case effects.SendBack(link=link, message=message):
+            case effects.SendIncoming(link=link, message=message):
                 self.links.send_back(link, message)
-            case effects.Finished():
+            case effects.RequestFinished():
                 self.metrics.finished(effect)
             case effects.Reply():
                 self.endpoints.reply(effect)
@@ -107,11 +107,11 @@
                 self.endpoints.reject(effect)
             case effects.ReplyPart(conn=conn, data=data, last=last):
                 self.endpoints.requests.reply_part(conn, data, last=last)
-            case effects.Abort(conn=conn):
+            case effects.AbortReply(conn=conn):
                 self.endpoints.abort(conn)
             case effects.CancelDispatch(dispatch=dispatch):
                 self.target.client.cancel(dispatch)
-            case effects.ReadTarget(dispatch=dispatch, size=size):
+            case effects.ReadAnswer(dispatch=dispatch, size=size):
                 self.target.client.read_more(dispatch, size)
             case _:
                 self._carry_out_control(effect)
@@ -121,25 +121,25 @@
         match effect:
             case effects.Dial(address=address):
                 self.links.dial(address)
-            case effects.Deflate(address=address):
+            case effects.DeflateOutgoing(address=address):
                 self.links.deflate_to(address)
-            case effects.DeflateBack(link=link):
+            case effects.DeflateIncoming(link=link):
                 self.links.deflate_back(link)
-            case effects.HangUp(address=address):
+            case effects.CloseLink(address=address):
                 self.links.hang_up(address)
             case effects.Probe(path=path):
                 self.target.check_health(path)
             case effects.AckHeartbeat(conn=conn, taken=taken):
                 self.endpoints.acknowledge_heartbeat(conn, taken)
-            case effects.AskStore(request=request):
+            case effects.CallStore(request=request):
                 self.store.ask(request)
             case effects.ReadPolicy(raw=raw, source=source):
                 self._read_policy(raw, source)
-            case effects.UseCallerLimits():
+            case effects.SetCallerLimits():
                 self.endpoints.use_limits(effect)
             case effects.StopAccepting():
                 self.endpoints.requests.stop_keep_alive()
-            case effects.End():
+            case effects.Exit():
                 self.end_at = clock.now() + FLUSH_S
 
     def _open(self, poller: poller.Poller) -> None:
--- a/ferrydeck/mesh/net/endpoints.py
+++ b/ferrydeck/mesh/net/endpoints.py
@@ -86,7 +86,7 @@
         """Answer a heartbeat: 200 if it was taken, else 503."""
         self.heartbeats.reply(conn, 200 if taken else 503, [], b"")
 
-    def use_limits(self, effect: effects.UseCallerLimits) -> None:
+    def use_limits(self, effect: effects.SetCallerLimits) -> None:
         """Apply what the policy allows callers from now on."""
         self.limits.head_bytes = effect.head_bytes
         self.limits.body_bytes = effect.body_bytes
@@ -142,7 +142,7 @@
 
     def _caller_gone(self, number: int) -> None:
         self._request_ids.pop(number, None)
-        self.feed(events.CallerGone(conn=number))
+        self.feed(events.CallerDisconnected(conn=number))
 
     def _answer_sent(self, number: int, size: int) -> None:
         self.feed(events.CallerRead(conn=number, size=size))
--- a/ferrydeck/mesh/net/links.py
+++ b/ferrydeck/mesh/net/links.py
@@ -68,7 +68,7 @@
         """Make a link; `OutgoingLinkUp` or `OutgoingLinkDown` follows."""
         sock = sockets.dial(address)
         if sock is None:
-            self.feed(events.OutgoingLinkDown(address=address, made=False))
+            self.feed(events.OutgoingLinkDown(address=address, was_up=False))
             return
         set_unacked(sock)
         link = Link(sock=sock, address=address)
@@ -83,13 +83,13 @@
             link.address = ""
             self.shut(link)
 
-    def send_to(self, address: str, message: messages.Any) -> None:
+    def send_to(self, address: str, message: messages.AnyMessage) -> None:
         """Send a message on a link that was dialled."""
         link = self.outgoing.get(address)
         if link is not None and link.connected:
             self._write(link, message)
 
-    def send_back(self, number: int, message: messages.Any) -> None:
+    def send_back(self, number: int, message: messages.AnyMessage) -> None:
         """Send a message on a link that another daemon dialled."""
         link = self.incoming.get(number)
         if link is not None:
@@ -133,12 +133,12 @@
         if link.address and self.outgoing.get(link.address) is link:
             del self.outgoing[link.address]
             self.feed(
-                events.OutgoingLinkDown(address=link.address, made=link.connected)
+                events.OutgoingLinkDown(address=link.address, was_up=link.connected)
             )
         if link.number and self.incoming.pop(link.number, None) is not None:
             self.feed(events.IncomingLinkDown(link=link.number))
 
-    def _write(self, link: Link, message: messages.Any) -> None:
+    def _write(self, link: Link, message: messages.AnyMessage) -> None:
         if len(link.outbuf) > BACKLOG:
             self._fail(link, "backlog")
             return
--- a/ferrydeck/mesh/net/target.py
+++ b/ferrydeck/mesh/net/target.py
@@ -96,14 +96,18 @@
             refused = isinstance(event, request_client.Lost) and event.refused
             self.feed(
                 events.ProbeAnswered(
-                    well=False, target_id="", slots=0, refused=refused, answered=False
+                    healthy=False,
+                    target_id="",
+                    slots=0,
+                    refused=refused,
+                    answered=False,
                 )
             )
             return
         facts = headers.read_answer(event.status, event.fields)
         self.feed(
             events.ProbeAnswered(
-                well=event.status == 200,
+                healthy=event.status == 200,
                 target_id=facts.target_id,
                 slots=facts.load.slots if facts.load else 0,
             )
--- a/ferrydeck/mesh/outbound/attempts.py
+++ b/ferrydeck/mesh/outbound/attempts.py
@@ -31,7 +31,7 @@
         incarnation: str,
     ) -> None:
         """Send a request to a target incarnation; `peer` is `None` for this box."""
-        number = self.ctx.number()
+        number = self.ctx.next_number()
         req.current_attempt = number
         req.peer = peer
         req.sends += 1
@@ -110,11 +110,11 @@
             objective_s=req.objective_at - now,
             route=req.route.name,
             priority=req.priority,
-            begins=req.parent is not None and not req.parent.ended_calls,
-            lowest=req.sheddable,
+            is_first_call=req.parent is not None and not req.parent.ended_calls,
+            sheddable=req.sheddable,
             retryable=req.route.retryable,
-            came_back=req.caller_retry,
-            first=req.sends == 1,
+            caller_retry=req.caller_retry,
+            first_attempt=req.sends == 1,
             retry=retry,
         )
 
--- a/ferrydeck/mesh/outbound/open_requests.py
+++ b/ferrydeck/mesh/outbound/open_requests.py
@@ -66,7 +66,7 @@
         self, now: float, req: outbound_request.OutboundRequest, reason: str
     ) -> None:
         """Close the caller's connection in the middle of a response."""
-        self.ctx.emit(effects.Abort(conn=req.conn))
+        self.ctx.emit(effects.AbortReply(conn=req.conn))
         self.finish(now, req, "aborted", reason)
 
     def finish(
@@ -85,7 +85,7 @@
             req.parent.call_ended(now)
         req.log(self.ctx, outcome, reason, ms=round(1000 * (now - req.started), 1))
         self.ctx.emit(
-            effects.Finished(
+            effects.RequestFinished(
                 route=req.route.name, outcome=outcome, seconds=now - req.started
             )
         )
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -80,7 +80,7 @@
 
     def start(self, now: float) -> None:
         """Start the periodic check for requests at unresponsive boxes."""
-        self.ctx.at(now + SILENCE_CHECK_INTERVAL_S, SilenceCheckTimer())
+        self.ctx.set_timer(now + SILENCE_CHECK_INTERVAL_S, SilenceCheckTimer())
 
     def request_received(self, now: float, request: events.RequestReceived) -> None:
         """Accept a caller's request, or reject it immediately."""
@@ -113,7 +113,9 @@
             return
         req = self.builder.build(now, request, route, team)
         self.requests.add(req)
-        self.ctx.at(req.deadline - DEADLINE_MARGIN_S, DeadlineTimer(number=req.number))
+        self.ctx.set_timer(
+            req.deadline - DEADLINE_MARGIN_S, DeadlineTimer(number=req.number)
+        )
         self._pick_and_send(now, req)
 
     def caller_disconnected(self, now: float, conn: int) -> None:
@@ -187,7 +189,7 @@
             return
         self.reports.apply(now, req, peer, message)
         self.attempts.end(req)
-        if message.target_asked:
+        if message.rejected_by_target:
             self._rejected_by_target(now, req, peer, message)
             return
         req.attempts -= 1
@@ -219,7 +221,7 @@
 
     def check_silent_boxes(self, now: float) -> None:
         """Retry requests of unresponsive boxes at other boxes."""
-        self.ctx.at(now + SILENCE_CHECK_INTERVAL_S, SilenceCheckTimer())
+        self.ctx.set_timer(now + SILENCE_CHECK_INTERVAL_S, SilenceCheckTimer())
         for peer in self.peers.by_address.values():
             if not peer.in_flight or not failure_detector.is_silent(now, peer):
                 continue
@@ -296,7 +298,7 @@
             case retrying.SearchAgain():
                 req.tried.clear()
                 search_at = now + retrying.SEARCH_INTERVAL_S
-                self.ctx.at(search_at, TargetSearchTimer(number=req.number))
+                self.ctx.set_timer(search_at, TargetSearchTimer(number=req.number))
             case retrying.Reject(reason=reason):
                 self.requests.reject(now, req, reason, retry_after_s)
             case retrying.GiveUp(status=status, reason=reason):
--- a/ferrydeck/mesh/outbound/request_builder.py
+++ b/ferrydeck/mesh/outbound/request_builder.py
@@ -46,7 +46,7 @@
         if parent is not None and self.ctx.switches.pass_rank_on:
             priority = priorities.of_call(parent.call_priority, route.priority)
         return outbound_request.OutboundRequest(
-            number=self.ctx.number(),
+            number=self.ctx.next_number(),
             conn=request.conn,
             route=route,
             service=service,
--- a/ferrydeck/mesh/poison/tracker.py
+++ b/ferrydeck/mesh/poison/tracker.py
@@ -154,7 +154,7 @@
     ) -> None:
         self._log(record, forward.request_id, "excused")
         if not self._cleared:
-            self.ctx.at(now + REPORT_INTERVAL_S, ClearedReportTimer())
+            self.ctx.set_timer(now + REPORT_INTERVAL_S, ClearedReportTimer())
         self._cleared[record.fingerprint] = self.records.clear(now, record)
 
     def _crash_number(self, now: float, incarnation: str) -> int:
--- a/ferrydeck/mesh/policy.py
+++ b/ferrydeck/mesh/policy.py
@@ -142,13 +142,13 @@
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of a host with the longest prefix of a path."""
         bare = path.partition("?")[0]
-        for route in self._by_host.get(bare_host(host), ()):
+        for route in self._by_host.get(normalize_host(host), ()):
             if bare.startswith(route.prefix):
                 return route
         return None
 
 
-def bare_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """Return a host in lower case without its port."""
     name, colon, port = host.rpartition(":")
     if colon and port.isdigit():
--- a/ferrydeck/mesh/settings.py
+++ b/ferrydeck/mesh/settings.py
@@ -106,11 +106,11 @@
     limits.read(cfg.terms, cfg.report_interval, report)
 
 
-def switches_of(cfg: Settings) -> switches.Switches:
+def read_switches(cfg: Settings) -> switches.Switches:
     """Return the switches of the settings."""
     return switches.Switches(**cfg.tuning)
 
 
-def limits_of(cfg: Settings) -> context.Limits:
+def read_limits(cfg: Settings) -> context.Limits:
     """Return the limits of the deployment; settings that were loaded have no faults."""
     return limits.read(cfg.terms, cfg.report_interval, findings.Report(file=""))
--- a/ferrydeck/mesh/leaving.py
+++ b/ferrydeck/mesh/shutdown.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class LeaveTimer:
+class ShutdownTimer:
     """Time to check whether a daemon that stops may end."""
 
 
@@ -51,7 +51,7 @@
 
 
 @attrs.define(kw_only=True)
-class Leaving:
+class Shutdown:
     """Carries out the stop of one daemon."""
 
     ctx: context.Context
@@ -68,7 +68,7 @@
         self.ctx.note(
             "stop", outcome="asked", calls=len(self.outbound.requests.by_conn)
         )
-        self.ctx.at(now + CHECK_EVERY_S, LeaveTimer())
+        self.ctx.set_timer(now + CHECK_EVERY_S, ShutdownTimer())
 
     def check(self, now: float) -> None:
         """Close the sides and end the process as it is due."""
@@ -83,7 +83,7 @@
             idle=not self.outbound.requests.by_conn and not self.inbound.busy,
         )
         if not may_end(progress):
-            self.ctx.at(now + CHECK_EVERY_S, LeaveTimer())
+            self.ctx.set_timer(now + CHECK_EVERY_S, ShutdownTimer())
             return
         self.ctx.note(
             "stop",
@@ -91,4 +91,4 @@
             calls=len(self.outbound.requests.by_conn),
             jobs=self.inbound.busy,
         )
-        self.ctx.emit(effects.End())
+        self.ctx.emit(effects.Exit())
--- a/ferrydeck/mesh/store.py
+++ b/ferrydeck/mesh/store.py
@@ -89,7 +89,7 @@
 Request = (
     ReadPolicy | ProvePolicy | WatchPolicy | ReadBoxes | GrantLease | KeepLease | PutBox
 )
-Numbered = ProvePolicy | WatchPolicy | KeepLease | PutBox
+EraScoped = ProvePolicy | WatchPolicy | KeepLease | PutBox
 """Requests that carry a revision or a lease, which mean nothing in another era."""
 
 
--- a/ferrydeck/mesh/teams/quota_exchange.py
+++ b/ferrydeck/mesh/teams/quota_exchange.py
@@ -58,14 +58,14 @@
             return
         self._running = True
         self._view_changed_at = now
-        self.ctx.at(now + REPORT_INTERVAL_S, QuotaReportTimer())
+        self.ctx.set_timer(now + REPORT_INTERVAL_S, QuotaReportTimer())
 
     def send_reports(self, now: float) -> None:
         """Send usage to the coordinators, and own grants to all daemons."""
         self._running = self._has_quotas()
         if not self._running:
             return
-        self.ctx.at(now + REPORT_INTERVAL_S, QuotaReportTimer())
+        self.ctx.set_timer(now + REPORT_INTERVAL_S, QuotaReportTimer())
         self._update_reachable(now)
         self._send_usages(now)
         self._send_grants(now)
@@ -94,7 +94,7 @@
                 )
         if grants:
             reply = messages.TeamGrants(grants=grants)
-            self.ctx.emit(effects.SendBack(link=link, message=reply))
+            self.ctx.emit(effects.SendIncoming(link=link, message=reply))
 
     def grants_received(
         self, now: float, address: str, message: messages.TeamGrants
--- a/ferrydeck/platform/headers.py
+++ b/ferrydeck/platform/headers.py
@@ -125,7 +125,7 @@
     named = dict(fields)
     return events.AnswerFacts(
         not_run=NOT_RUN in named or status == MISDIRECTED,
-        marked_whole=SEAL in named,
+        confirmed_complete=SEAL in named,
         target_id=named.get(INSTANCE, ""),
         load=_load(named.get(LOAD, "")),
     )
--- a/tests/mesh/poison/test_crash_logging.py
+++ b/tests/mesh/poison/test_crash_logging.py
@@ -51,7 +51,7 @@
     lost = events.TargetFailed(
         dispatch=dispatch, sent=True, refused=False, detail="connection ended"
     )
-    silent = events.ProbeAnswered(well=False, target_id="", slots=0, answered=False)
+    silent = events.ProbeAnswered(healthy=False, target_id="", slots=0, answered=False)
     assert triggers_probe(lost)
     assert triggers_probe(silent)
     assert triggers_probe(silent)
--- a/tests/mesh/poison/test_records.py
+++ b/tests/mesh/poison/test_records.py
@@ -30,11 +30,11 @@
         "objective_s": 1.0,
         "route": "look",
         "priority": 0,
-        "begins": False,
-        "lowest": False,
+        "is_first_call": False,
+        "sheddable": False,
         "retryable": True,
-        "came_back": False,
-        "first": True,
+        "caller_retry": False,
+        "first_attempt": True,
         "retry": messages.Retry.NO,
     }
     team = more.pop("team", "")
--- a/tests/mesh/simulation/box.py
+++ b/tests/mesh/simulation/box.py
@@ -75,5 +75,5 @@
     sequence: int = 0
     incarnation: int = 0
     """Rises with each start of the daemon."""
-    ahead_s: float = 0.0
+    clock_offset_s: float = 0.0
     """How far its clock is ahead of the world's, seconds: boxes' clocks differ."""
--- a/tests/mesh/simulation/callers.py
+++ b/tests/mesh/simulation/callers.py
@@ -95,7 +95,7 @@
             if one is req:
                 req.gone_at = self.line.now
                 del self._open[name, number]
-                self.line.feed(box, events.CallerGone(conn=number))
+                self.line.feed(box, events.CallerDisconnected(conn=number))
 
     def lose_daemon(self, box: boxes.Box) -> None:
         """End the connections of a daemon that was killed."""
--- a/tests/mesh/simulation/links.py
+++ b/tests/mesh/simulation/links.py
@@ -34,7 +34,7 @@
         """Make a link, which is up once two messages have crossed."""
         other = self.by_address.get(address)
         if other is None or not other.up:
-            down = events.OutgoingLinkDown(address=address, made=False)
+            down = events.OutgoingLinkDown(address=address, was_up=False)
             self.line.feed_later(box, down, FAR_S)
             return
         if self.cut(box, other):
@@ -58,13 +58,13 @@
         """End the links between two boxes, one of which has gone."""
         number = other.links_out.pop(box.address, None)
         if number is not None:
-            down = events.OutgoingLinkDown(address=box.address, made=True)
+            down = events.OutgoingLinkDown(address=box.address, was_up=True)
             self.line.feed_later(other, down, FAR_S)
         number = box.links_out.pop(other.address, None)
         if number is not None:
             self.line.after(FAR_S, lambda: self._ended(other, number))
 
-    def send(self, box: boxes.Box, address: str, message: messages.Any) -> None:
+    def send(self, box: boxes.Box, address: str, message: messages.AnyMessage) -> None:
         """Send a message on a link that a box dialled."""
         number = box.links_out.get(address)
         other = self.by_address.get(address)
@@ -79,7 +79,9 @@
 
         self.line.after(delay_s(box, other), arrive)
 
-    def send_back(self, box: boxes.Box, number: int, message: messages.Any) -> None:
+    def send_back(
+        self, box: boxes.Box, number: int, message: messages.AnyMessage
+    ) -> None:
         """Send a message on a link that another box dialled."""
         other = self.by_address.get(box.links_in.get(number, ""))
         if other is None or self.cut(box, other):
@@ -93,7 +95,7 @@
 
         self.line.after(delay_s(box, other), arrive)
 
-    def _encoded(self, message: messages.Any) -> messages.Any:
+    def _encoded(self, message: messages.AnyMessage) -> messages.AnyMessage:
         """Count a message; return it as it comes out of its bytes."""
         self.sent[type(message).__name__] += 1
         return messages.decode(messages.encode(message))
--- a/tests/mesh/simulation/targets.py
+++ b/tests/mesh/simulation/targets.py
@@ -111,7 +111,7 @@
         target = box.target
         right = target.up and not target.leaving
         probed = events.ProbeAnswered(
-            well=right if target.health is None else target.health,
+            healthy=right if target.health is None else target.health,
             target_id=target.target_id if target.up else "",
             slots=target.slots,
             refused=not target.up,
@@ -250,7 +250,7 @@
         dispatch = working.effect.dispatch
         if working.target.at_work.pop(dispatch, None) is not None:
             target_id = working.target.target_id
-            facts = events.AnswerFacts(marked_whole=True, target_id=target_id)
+            facts = events.AnswerFacts(confirmed_complete=True, target_id=target_id)
             self._answer(working.box, dispatch, 500, facts)
 
     def _finish(self, working: Working) -> None:
@@ -260,7 +260,7 @@
         if target.loses_answers:
             self.line.feed(box, lost(dispatch, "lost"))
             return
-        facts = events.AnswerFacts(marked_whole=True, target_id=target.target_id)
+        facts = events.AnswerFacts(confirmed_complete=True, target_id=target.target_id)
         self._answer(box, dispatch, 500 if target.fails else 200, facts)
 
     def _answer(
--- a/tests/mesh/simulation/timeline.py
+++ b/tests/mesh/simulation/timeline.py
@@ -40,7 +40,7 @@
 
     def clock(self, box: boxes.Box) -> float:
         """Return the time as a box has it, seconds."""
-        return self.now + box.ahead_s
+        return self.now + box.clock_offset_s
 
     def run(self, seconds: float) -> None:
         """Let time pass."""
--- a/tests/mesh/simulation/world.py
+++ b/tests/mesh/simulation/world.py
@@ -21,7 +21,7 @@
 
     switches: switches.Switches = switches.Switches()
     limits: context.Limits = context.Limits()
-    clocks_apart_s: float = 0.0
+    clock_skew_s: float = 0.0
     """How far the clocks of two boxes lie apart, seconds."""
     calls_named: bool = False
     """Whether targets name a call after the run that makes it."""
@@ -59,7 +59,7 @@
             address=address,
             core=self._core(name, data_centre, address, service),
             target=boxes.Target(target_id=f"i-{name}-0", service=service, **target),
-            ahead_s=self.clocks_apart_s * number,
+            clock_offset_s=self.clock_skew_s * number,
         )
         self.boxes[name] = box
         self.links.by_address[address] = box
@@ -121,17 +121,17 @@
     def _wake(self, box: boxes.Box, incarnation: int) -> None:
         if box.incarnation == incarnation:
             box.wake_at = None
-            self.feed(box, events.Wake())
+            self.feed(box, events.TimersDue())
 
     def _do(self, box: boxes.Box, effect: effects.Effect) -> None:
         match effect:
             case effects.Dial(address=address):
                 self.links.dial(box, address)
-            case effects.HangUp(address=address):
+            case effects.CloseLink(address=address):
                 self.links.hang_up(box, address)
-            case effects.Send(address=address, message=message):
+            case effects.SendOutgoing(address=address, message=message):
                 self.links.send(box, address, message)
-            case effects.SendBack(link=link, message=message):
+            case effects.SendIncoming(link=link, message=message):
                 self.links.send_back(box, link, message)
             case effects.Dispatch():
                 self.targets.dispatch(box, effect)
@@ -145,13 +145,13 @@
                 self._reject(box, effect)
             case effects.AckHeartbeat(conn=conn, taken=taken):
                 self.targets.acknowledged(conn, taken=taken)
-            case effects.AskStore(request=request):
+            case effects.CallStore(request=request):
                 self.store.ask(box, request)
             case effects.ReadPolicy(source=source):
                 self._read_policy(box, source)
             case effects.Decision():
                 self.decisions.append((self.now, box.name, effect))
-            case effects.End():
+            case effects.Exit():
                 self._end(box)
 
     def _reply(self, box: boxes.Box, effect: effects.Reply) -> None:
--- a/tests/mesh/teams/fleets.py
+++ b/tests/mesh/teams/fleets.py
@@ -69,7 +69,7 @@
 ) -> simulation.World:
     """Return a world of boxes with a `desk` target each, after `settle_s` seconds."""
     values = {"slots": 1000, "work_s": 0.02} | target
-    made = simulation.World(seed=seed, limits=TERMS, clocks_apart_s=977.0)
+    made = simulation.World(seed=seed, limits=TERMS, clock_skew_s=977.0)
     made.store.use(policy_of(*teams))
     for index in range(boxes):
         made.add_box(f"box-{index}", f"hall-{index % data_centres}", "desk", **values)
--- a/tests/mesh/teams/test_quota.py
+++ b/tests/mesh/teams/test_quota.py
@@ -121,5 +121,5 @@
 def test_fleet_without_quotas_sends_no_reports():
     with_quota, without_quota = world_of(), fleets.world_of(fleets.team_keys(), boxes=9)
     for world, expected in ((with_quota, True), (without_quota, False)):
-        running = [box.core.coordination._running for box in world.boxes.values()]
+        running = [box.core.quota_exchange._running for box in world.boxes.values()]
         assert running == [expected] * 9
--- a/tests/mesh/test_admission.py
+++ b/tests/mesh/test_admission.py
@@ -47,7 +47,12 @@
     "heartbeat_age_s": 4.0,
     "heartbeat_s": 1.5,
 }
-FORWARD = {"service": "book", "incarnation": "i-a@0", "route": "look", "lowest": True}
+FORWARD = {
+    "service": "book",
+    "incarnation": "i-a@0",
+    "route": "look",
+    "sheddable": True,
+}
 CORRECTIONS = [
     (Reason.BLOCKED, {}, {}),
     (Reason.EXPIRED, {"blocked": False}, {}),
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -81,7 +81,7 @@
 def test_health_check_does_not_open_departed_id(watch):
     watch.receive_peer_report(2.0, [incarnations.name("i-z", BORN)])
     watch.mark_replaced(2.0, "i-z")
-    answer = events.ProbeAnswered(well=True, target_id="i-z", slots=8)
+    answer = events.ProbeAnswered(healthy=True, target_id="i-z", slots=8)
     watch.probe_answered(2.1, answer)
     assert watch.phase is messages.Phase.UNKNOWN
     watch.heartbeat(2.2, heartbeat(1, target_id="i-z", born=BORN + 5))
@@ -120,11 +120,15 @@
 @pytest.mark.parametrize("gone", [False, True])
 def test_target_opened_by_health_check_leaves_by_first_heartbeat(watch, gone):
     watch.mark_replaced(2.0, "i-a")
-    watch.probe_answered(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
+    watch.probe_answered(
+        2.1, events.ProbeAnswered(healthy=True, target_id="i-a", slots=8)
+    )
     assert watch.phase is messages.Phase.READY
     watch.heartbeat(2.2, heartbeat(1, ready=False, gone=gone))
     assert watch.phase is messages.Phase.LEAVING
-    watch.probe_answered(2.3, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
+    watch.probe_answered(
+        2.3, events.ProbeAnswered(healthy=True, target_id="i-a", slots=8)
+    )
     watch.heartbeat(2.4, heartbeat(2))
     assert watch.phase is messages.Phase.LEAVING
 
@@ -133,7 +137,9 @@
     watch,
 ):
     watch.mark_replaced(2.0, "i-a")
-    watch.probe_answered(2.1, events.ProbeAnswered(well=True, target_id="i-a", slots=8))
+    watch.probe_answered(
+        2.1, events.ProbeAnswered(healthy=True, target_id="i-a", slots=8)
+    )
     watch.heartbeat(2.2, heartbeat(0, born=0, ready=False, gone=True))
     watch.heartbeat(2.5, heartbeat(7))
     assert watch.phase is messages.Phase.LEAVING
--- a/tests/net/test_deflate.py
+++ b/tests/net/test_deflate.py
@@ -30,11 +30,11 @@
         objective_s=0.3,
         route="r-mde7rye",
         priority=1,
-        begins=False,
-        lowest=False,
+        is_first_call=False,
+        sheddable=False,
         retryable=True,
-        came_back=False,
-        first=True,
+        caller_retry=False,
+        first_attempt=True,
         retry=messages.Retry.NO,
     )
     return messages.encode(message)
--- a/tests/unit/test_switches.py
+++ b/tests/unit/test_switches.py
@@ -26,15 +26,15 @@
 
 
 def test_all_mechanisms_are_on_where_nothing_is_said(tmp_path):
-    tuning = settings.switches_of(loaded(tmp_path))
+    tuning = settings.read_switches(loaded(tmp_path))
     assert tuning.price_slots
     assert tuning.compress_far
 
 
 def test_a_mechanism_can_be_switched_off(tmp_path):
     cfg = loaded(tmp_path, "[tuning]\nprice_slots = false\n")
-    assert not settings.switches_of(cfg).price_slots
-    assert settings.switches_of(cfg).pass_rank_on
+    assert not settings.read_switches(cfg).price_slots
+    assert settings.read_switches(cfg).pass_rank_on
 
 
 def test_all_that_is_wrong_with_switches_is_reported_with_its_place(tmp_path):
