--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -230,7 +230,7 @@
             case quota_exchange.QuotaReportTimer():
                 self.quota_exchange.send_reports(now)
             case heartbeats.RelayTimer(number=number):
-                self.heartbeats.end_relay(number, taken=False)
+                self.heartbeats.end_relay(number, accepted=False)
             case shutdown.ShutdownTimer():
                 self.shutdown.check(now)
 
@@ -299,8 +299,8 @@
                     self.peers.send(now, peer, reply)
             case messages.PolicyReply(raw=raw):
                 self.policies.policy_received(raw, peer.box)
-            case messages.HeartbeatAck(number=number, taken=taken):
-                self.heartbeats.end_relay(number, taken=taken)
+            case messages.HeartbeatAck(number=number, accepted=accepted):
+                self.heartbeats.end_relay(number, accepted=accepted)
             case messages.TeamGrants():
                 self.quota_exchange.grants_received(now, address, message)
             case messages.SuspectReports(suspects=reports):
--- a/ferrydeck/mesh/effects.py
+++ b/ferrydeck/mesh/effects.py
@@ -140,7 +140,7 @@
     """Acknowledge a target's heartbeat, or reject it."""
 
     conn: int
-    taken: bool
+    accepted: bool
 
 
 @attrs.define(kw_only=True, frozen=True)
--- a/ferrydeck/mesh/events.py
+++ b/ferrydeck/mesh/events.py
@@ -168,17 +168,17 @@
     sequence: int
     """Grows with each heartbeat of an incarnation."""
     ready: bool
-    gone: bool
+    terminating: bool
     """Whether it leaves for good."""
-    cold_s: float
+    warmup_s: float
     """How long it will still be slow after its start, seconds."""
-    born: int = incarnations.UNKNOWN
+    started_ms: int = incarnations.UNKNOWN
     """When its incarnation began, milliseconds since 1970."""
 
     @property
     def incarnation(self) -> str:
         """The name of its incarnation."""
-        return incarnations.name(self.target_id, self.born)
+        return incarnations.name(self.target_id, self.started_ms)
 
 
 @attrs.define(kw_only=True, frozen=True)
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -47,16 +47,16 @@
                 instance=heartbeat.target_id,
                 service=heartbeat.service,
             )
-            self._ack(heartbeat.conn, taken=False)
+            self._ack(heartbeat.conn, accepted=False)
             return
-        if own or (heartbeat.gone and self._may_be_own(heartbeat.target_id)):
+        if own or (heartbeat.terminating and self._may_be_own(heartbeat.target_id)):
             self.inbound.target.heartbeat(now, heartbeat)
-            self._ack(heartbeat.conn, taken=True)
+            self._ack(heartbeat.conn, accepted=True)
             return
         peer = self._peer_of_target(heartbeat)
         if peer is None or peer.link is not peers.LinkState.UP:
             self.ctx.note("report", outcome="refused", instance=heartbeat.target_id)
-            self._ack(heartbeat.conn, taken=False)
+            self._ack(heartbeat.conn, accepted=False)
             return
         self._send_relay(now, peer, heartbeat)
 
@@ -70,19 +70,19 @@
             slots=relay.slots,
             sequence=relay.sequence,
             ready=relay.ready,
-            gone=relay.gone,
-            cold_s=relay.cold_s,
-            born=relay.born,
+            terminating=relay.terminating,
+            warmup_s=relay.warmup_s,
+            started_ms=relay.started_ms,
         )
         self.inbound.target.heartbeat(now, heartbeat)
-        ack = messages.HeartbeatAck(number=relay.number, taken=True)
+        ack = messages.HeartbeatAck(number=relay.number, accepted=True)
         self.ctx.emit(effects.SendIncoming(link=link, message=ack))
 
-    def end_relay(self, number: int, *, taken: bool) -> None:
+    def end_relay(self, number: int, *, accepted: bool) -> None:
         """Acknowledge a relayed heartbeat, after its acknowledgement or timeout."""
         conn = self._relays.pop(number, None)
         if conn is not None:
-            self._ack(conn, taken=taken)
+            self._ack(conn, accepted=accepted)
 
     def _send_relay(
         self, now: float, peer: peers.Peer, heartbeat: events.Heartbeat
@@ -98,18 +98,20 @@
             slots=heartbeat.slots,
             sequence=heartbeat.sequence,
             ready=heartbeat.ready,
-            gone=heartbeat.gone,
-            cold_s=heartbeat.cold_s,
-            born=heartbeat.born,
+            terminating=heartbeat.terminating,
+            warmup_s=heartbeat.warmup_s,
+            started_ms=heartbeat.started_ms,
         )
         self.peers.send(now, peer, relay)
 
-    def _ack(self, conn: int, *, taken: bool) -> None:
-        self.ctx.emit(effects.AckHeartbeat(conn=conn, taken=taken))
+    def _ack(self, conn: int, *, accepted: bool) -> None:
+        self.ctx.emit(effects.AckHeartbeat(conn=conn, accepted=accepted))
 
     def _names_other_service(self, heartbeat: events.Heartbeat) -> bool:
         """Return whether a heartbeat states another service than that of this box."""
-        return not heartbeat.gone and heartbeat.service != self.ctx.identity.service
+        return (
+            not heartbeat.terminating and heartbeat.service != self.ctx.identity.service
+        )
 
     def _may_be_own(self, target_id: str) -> bool:
         """Return whether a heartbeat without address may belong to the local target."""
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -149,7 +149,7 @@
             incarnation=self.target.incarnation,
             service=self.ctx.identity.service,
             slots=self.limit,
-            cold_s=max(0.0, self.target.cold_until - now),
+            warmup_s=max(0.0, self.target.cold_until - now),
             version=self.ctx.version,
         )
 
--- a/ferrydeck/mesh/inbound/target_watch.py
+++ b/ferrydeck/mesh/inbound/target_watch.py
@@ -128,16 +128,18 @@
     def heartbeat(self, now: float, heartbeat: events.Heartbeat) -> HeartbeatResult:
         """Process a heartbeat of the target and return its effect."""
         newest = self._newest.get(heartbeat.target_id, incarnations.UNKNOWN)
-        if heartbeat.gone and not heartbeat.born:
+        if heartbeat.terminating and not heartbeat.started_ms:
             # A deregistration may have no body; it refers to the newest incarnation.
-            heartbeat = attrs.evolve(heartbeat, born=newest)
+            heartbeat = attrs.evolve(heartbeat, started_ms=newest)
         incarnation = heartbeat.incarnation
         last = self._sequences.get(incarnation, -1)
-        if heartbeat.born < newest or _is_repeated(heartbeat, last):
+        if heartbeat.started_ms < newest or _is_repeated(heartbeat, last):
             return HeartbeatResult.STALE
         self._remember(incarnation, max(last, heartbeat.sequence))
-        if heartbeat.gone or not heartbeat.ready:
-            self._leave(now, incarnation, "gone" if heartbeat.gone else "draining")
+        if heartbeat.terminating or not heartbeat.ready:
+            self._leave(
+                now, incarnation, "gone" if heartbeat.terminating else "draining"
+            )
             return HeartbeatResult.LEAVING
         if incarnation in self.left or self._may_be_late(now, heartbeat.target_id):
             return HeartbeatResult.HAS_LEFT
@@ -176,7 +178,7 @@
         incarnation = heartbeat.incarnation
         self.ready_at = now
         self.slots = heartbeat.slots or self.slots
-        self.cold_until = max(self.cold_until, now + heartbeat.cold_s)
+        self.cold_until = max(self.cold_until, now + heartbeat.warmup_s)
         if self.phase is messages.Phase.READY and self.incarnation == incarnation:
             return HeartbeatResult.READY
         if self.phase is messages.Phase.UNKNOWN and not self._confirmed(incarnation):
@@ -205,8 +207,8 @@
         The answer contains the target id and no birth time. If an incarnation of this
         id has left, only a heartbeat identifies the new one.
         """
-        born = self._newest.get(target_id, incarnations.UNKNOWN)
-        if born and incarnations.name(target_id, born) not in self.left:
+        started_ms = self._newest.get(target_id, incarnations.UNKNOWN)
+        if started_ms and incarnations.name(target_id, started_ms) not in self.left:
             return False
         return any(incarnations.id_of(name) == target_id for name in self.left)
 
@@ -273,4 +275,4 @@
 
 def _is_repeated(heartbeat: events.Heartbeat, last: int) -> bool:
     """Return whether a heartbeat is a duplicate or late; a deregistration never is."""
-    return heartbeat.sequence <= last and not heartbeat.gone
+    return heartbeat.sequence <= last and not heartbeat.terminating
--- a/ferrydeck/mesh/incarnations.py
+++ b/ferrydeck/mesh/incarnations.py
@@ -13,9 +13,9 @@
 """Separates the two; no id that came in the path of a call contains it."""
 
 
-def name(target_id: str, born: int) -> str:
-    """Return the name of an incarnation; `born` is in milliseconds since 1970."""
-    return f"{target_id}{MARK}{born}" if born else target_id
+def name(target_id: str, started_ms: int) -> str:
+    """Return the name of an incarnation; `started_ms` is in milliseconds since 1970."""
+    return f"{target_id}{MARK}{started_ms}" if started_ms else target_id
 
 
 def id_of(incarnation: str) -> str:
@@ -24,5 +24,5 @@
 
 
 def started_ms(incarnation: str) -> int:
-    """Return when it was born, milliseconds since 1970; `UNKNOWN` if not stated."""
+    """Return when it started, milliseconds since 1970; `UNKNOWN` if not stated."""
     return int(incarnation.partition(MARK)[2] or UNKNOWN)
--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -201,7 +201,7 @@
         old = peer.target_state
         peer.target_state = target_state
         peer.service = target_state.service
-        peer.cold_until = now + target_state.cold_s
+        peer.cold_until = now + target_state.warmup_s
         self.candidates_changed = True
         if target_state.phase == messages.Phase.LEAVING and target_state.incarnation:
             self._add_departed(peer.box, target_state.incarnation)
--- a/ferrydeck/mesh/messages.py
+++ b/ferrydeck/mesh/messages.py
@@ -112,7 +112,7 @@
     service: str
     slots: int
     """Requests that it runs at a time."""
-    cold_s: float
+    warmup_s: float
     """How long the target will still be slow after its start, seconds."""
     version: int
     """Version of the policy in force there; 0 for none."""
@@ -315,9 +315,9 @@
     slots: int
     sequence: int
     ready: bool
-    gone: bool
-    cold_s: float
-    born: int
+    terminating: bool
+    warmup_s: float
+    started_ms: int
     """When its incarnation began, milliseconds since 1970; 0 if not stated."""
 
 
@@ -325,7 +325,7 @@
     """The daemon of the target's box has acted on a `HeartbeatRelay`."""
 
     number: int
-    taken: bool
+    accepted: bool
 
 
 class TeamUsages(Message, tag=19):
--- a/ferrydeck/mesh/net/driver.py
+++ b/ferrydeck/mesh/net/driver.py
@@ -129,8 +129,8 @@
                 self.links.hang_up(address)
             case effects.Probe(path=path):
                 self.target.check_health(path)
-            case effects.AckHeartbeat(conn=conn, taken=taken):
-                self.endpoints.acknowledge_heartbeat(conn, taken)
+            case effects.AckHeartbeat(conn=conn, accepted=accepted):
+                self.endpoints.acknowledge_heartbeat(conn, accepted)
             case effects.CallStore(request=request):
                 self.store.ask(request)
             case effects.ReadPolicy(raw=raw, source=source):
--- a/ferrydeck/mesh/net/endpoints.py
+++ b/ferrydeck/mesh/net/endpoints.py
@@ -82,9 +82,9 @@
         self._request_ids.pop(conn, None)
         self.requests.abort(conn)
 
-    def acknowledge_heartbeat(self, conn: int, taken: bool) -> None:
+    def acknowledge_heartbeat(self, conn: int, accepted: bool) -> None:
         """Answer a heartbeat: 200 if it was taken, else 503."""
-        self.heartbeats.reply(conn, 200 if taken else 503, [], b"")
+        self.heartbeats.reply(conn, 200 if accepted else 503, [], b"")
 
     def use_limits(self, effect: effects.SetCallerLimits) -> None:
         """Apply what the policy allows callers from now on."""
--- a/ferrydeck/platform/heartbeats.py
+++ b/ferrydeck/platform/heartbeats.py
@@ -65,7 +65,7 @@
     try:
         report = msgspec.json.decode(body, type=HeartbeatBody)
         ready = STATES[report.state]
-        cold_s = units.seconds(report.cold_remaining)
+        warmup_s = units.seconds(report.cold_remaining)
     except (msgspec.DecodeError, LookupError, ValueError):
         return None
     if report.born < 0 or report.sequence < 0 or report.slots < 0:
@@ -78,9 +78,9 @@
         slots=report.slots,
         sequence=report.sequence,
         ready=ready,
-        gone=False,
-        cold_s=cold_s,
-        born=report.born,
+        terminating=False,
+        warmup_s=warmup_s,
+        started_ms=report.born,
     )
 
 
@@ -101,7 +101,7 @@
         slots=0,
         sequence=report.sequence,
         ready=False,
-        gone=True,
-        cold_s=0.0,
-        born=max(incarnations.UNKNOWN, report.born),
+        terminating=True,
+        warmup_s=0.0,
+        started_ms=max(incarnations.UNKNOWN, report.born),
     )
--- a/tests/mesh/faults.py
+++ b/tests/mesh/faults.py
@@ -148,13 +148,15 @@
             return
         target_id = box.target.target_id
 
-        def acked(taken: bool) -> None:
-            if taken:
+        def acked(accepted: bool) -> None:
+            if accepted:
                 self.leaving.setdefault(target_id, self.world.now)
 
         by_leave = self.rng.random() < 0.3
         box.target.leaving = True
-        self.world.targets.report(box, ready=False, gone=by_leave, answered=acked)
+        self.world.targets.report(
+            box, ready=False, terminating=by_leave, answered=acked
+        )
         self.world.after(4.0, lambda: self.world.targets.replace(box))
 
     def _replace(self) -> None:
--- a/tests/mesh/poison/test_poison_requests.py
+++ b/tests/mesh/poison/test_poison_requests.py
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("keeps_id", [False, True])
 def test_targets_that_restart_after_a_second_do_not_crash_again(keeps_id):
-    fleet = fleets.loaded_fleet(3, seed=6, keeps_id=keeps_id, born=1, down_s=1.0)
+    fleet = fleets.loaded_fleet(3, seed=6, keeps_id=keeps_id, started_ms=1, down_s=1.0)
     send_spaced(fleet, copies=12, every_s=0.8)
     assert fleets.crash_count(fleet.world) <= 3
 
--- a/tests/mesh/simulation/box.py
+++ b/tests/mesh/simulation/box.py
@@ -26,7 +26,7 @@
 
     target_id: str
     service: str
-    born: int = 0
+    started_ms: int = 0
     """When it was born, milliseconds; 0 for one that does not report it."""
     slots: int = 8
     work_s: float = 0.05
--- a/tests/mesh/simulation/targets.py
+++ b/tests/mesh/simulation/targets.py
@@ -71,7 +71,7 @@
         """Have a target report that it leaves; the list gets the acknowledgement."""
         box.target.leaving = True
         acks: list[bool] = []
-        self.report(box, ready=False, gone=by_leave, answered=acks.append)
+        self.report(box, ready=False, terminating=by_leave, answered=acks.append)
         return acks
 
     def replace(self, box: boxes.Box, *, same_id: bool = False) -> None:
@@ -83,7 +83,7 @@
         box.target = attrs.evolve(
             old,
             target_id=old.target_id if same_id else f"{old.target_id}x",
-            born=int(1000 * self.line.now) + 1 if old.born else 0,
+            started_ms=int(1000 * self.line.now) + 1 if old.started_ms else 0,
             up=True,
             leaving=False,
             at_work={},
@@ -122,7 +122,9 @@
     def report_forever(self, box: boxes.Box) -> None:
         """Have the target of a box report as long as it is up."""
         if box.target.up and not box.target.leaving:
-            self.report(box, ready=True, gone=False, answered=lambda taken: None)
+            self.report(
+                box, ready=True, terminating=False, answered=lambda accepted: None
+            )
         self.line.after(REPORT_EVERY_S, lambda: self.report_forever(box))
 
     def report(
@@ -130,7 +132,7 @@
         box: boxes.Box,
         *,
         ready: bool,
-        gone: bool,
+        terminating: bool,
         answered: Callable[[bool], None],
     ) -> None:
         """Have the target of a box report; `answered` gets the acknowledgement."""
@@ -145,17 +147,17 @@
             slots=box.target.slots,
             sequence=box.sequence,
             ready=ready,
-            gone=gone,
-            cold_s=0.0,
-            born=box.target.born,
+            terminating=terminating,
+            warmup_s=0.0,
+            started_ms=box.target.started_ms,
         )
         self.line.feed(box, heartbeat)
 
-    def acknowledged(self, conn: int, *, taken: bool) -> None:
+    def acknowledged(self, conn: int, *, accepted: bool) -> None:
         """Pass the answer to a report on to whoever waits for it."""
         answered = self.acks.pop(conn, None)
         if answered is not None:
-            answered(taken)
+            answered(accepted)
 
     def dispatch(self, box: boxes.Box, effect: effects.Dispatch) -> None:
         """Start a run, or reject the request."""
@@ -280,7 +282,9 @@
     def _start_again(self, box: boxes.Box, crashed: boxes.Target) -> None:
         if box.target is crashed:
             self.replace(box, same_id=crashed.keeps_id)
-            self.report(box, ready=True, gone=False, answered=lambda taken: None)
+            self.report(
+                box, ready=True, terminating=False, answered=lambda accepted: None
+            )
 
 
 def lost(dispatch: int, detail: str) -> events.TargetFailed:
--- a/tests/mesh/simulation/world.py
+++ b/tests/mesh/simulation/world.py
@@ -143,8 +143,8 @@
                 self._reply(box, effect)
             case effects.Reject():
                 self._reject(box, effect)
-            case effects.AckHeartbeat(conn=conn, taken=taken):
-                self.targets.acknowledged(conn, taken=taken)
+            case effects.AckHeartbeat(conn=conn, accepted=accepted):
+                self.targets.acknowledged(conn, accepted=accepted)
             case effects.CallStore(request=request):
                 self.store.ask(box, request)
             case effects.ReadPolicy(source=source):
--- a/tests/mesh/test_heartbeats.py
+++ b/tests/mesh/test_heartbeats.py
@@ -21,9 +21,9 @@
         slots=8,
         sequence=100,
         ready=False,
-        gone=False,
-        cold_s=0.0,
-        born=box.target.born,
+        terminating=False,
+        warmup_s=0.0,
+        started_ms=box.target.started_ms,
     )
     world.feed(other, leaving)
     world.run(0.2)
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -17,7 +17,7 @@
 
 
 def heartbeat(
-    sequence: int, *, born: int = BORN, ready: bool = True, **more
+    sequence: int, *, started_ms: int = BORN, ready: bool = True, **more
 ) -> events.Heartbeat:
     values = {
         "conn": 0,
@@ -27,9 +27,9 @@
         "slots": 8,
         "sequence": sequence,
         "ready": ready,
-        "gone": False,
-        "cold_s": 0.0,
-        "born": born,
+        "terminating": False,
+        "warmup_s": 0.0,
+        "started_ms": started_ms,
     }
     return events.Heartbeat(**(values | more))
 
@@ -44,7 +44,7 @@
 def test_target_restarted_under_its_id_is_ready_by_first_heartbeat(watch):
     open_target(watch)
     watch.mark_down(3.0, "refused")
-    watch.heartbeat(4.0, heartbeat(1, born=BORN + 3000))
+    watch.heartbeat(4.0, heartbeat(1, started_ms=BORN + 3000))
     assert watch.phase is messages.Phase.READY
     assert watch.incarnation == incarnations.name("i-a", BORN + 3000)
 
@@ -54,27 +54,27 @@
     watch.heartbeat(3.0, heartbeat(903, ready=False))
     watch.heartbeat(3.1, heartbeat(904))
     assert watch.phase is messages.Phase.LEAVING
-    watch.heartbeat(6.0, heartbeat(1, born=BORN + 3000))
+    watch.heartbeat(6.0, heartbeat(1, started_ms=BORN + 3000))
     assert watch.phase is messages.Phase.READY
 
 
 @pytest.mark.parametrize("word", ["ready", "draining", "gone"])
 def test_delayed_heartbeat_of_old_incarnation_is_ignored(watch, word):
     open_target(watch)
-    watch.heartbeat(6.0, heartbeat(1, born=BORN + 3000))
-    delayed = heartbeat(990, ready=word == "ready", gone=word == "gone")
+    watch.heartbeat(6.0, heartbeat(1, started_ms=BORN + 3000))
+    delayed = heartbeat(990, ready=word == "ready", terminating=word == "gone")
     assert watch.heartbeat(6.5, delayed)
     assert watch.phase is messages.Phase.READY
     assert watch.incarnation == incarnations.name("i-a", BORN + 3000)
 
 
 def test_target_without_birth_time_is_known_by_its_id(watch):
-    open_target(watch, born=0)
+    open_target(watch, started_ms=0)
     assert watch.incarnation == "i-a"
     watch.mark_down(3.0, "refused")
-    watch.heartbeat(4.0, heartbeat(1, born=0))
+    watch.heartbeat(4.0, heartbeat(1, started_ms=0))
     assert watch.phase is messages.Phase.DOWN
-    watch.heartbeat(4.0, heartbeat(903, born=0))
+    watch.heartbeat(4.0, heartbeat(903, started_ms=0))
     assert watch.phase is messages.Phase.READY
 
 
@@ -84,13 +84,13 @@
     answer = events.ProbeAnswered(healthy=True, target_id="i-z", slots=8)
     watch.probe_answered(2.1, answer)
     assert watch.phase is messages.Phase.UNKNOWN
-    watch.heartbeat(2.2, heartbeat(1, target_id="i-z", born=BORN + 5))
-    watch.heartbeat(2.3, heartbeat(2, target_id="i-z", born=BORN + 5))
+    watch.heartbeat(2.2, heartbeat(1, target_id="i-z", started_ms=BORN + 5))
+    watch.heartbeat(2.3, heartbeat(2, target_id="i-z", started_ms=BORN + 5))
     assert watch.phase is messages.Phase.READY
 
 
 def test_restarted_target_serves_requests_under_its_id():
-    world = samples.world_of(1, born=BORN, keeps_id=True)
+    world = samples.world_of(1, started_ms=BORN, keeps_id=True)
     box = world.boxes["box-0"]
     for _ in range(3):
         world.targets.crash(box, 0.5)
@@ -101,7 +101,7 @@
 
 
 def test_request_in_flight_at_crash_may_have_run():
-    world = samples.world_of(1, born=BORN, keeps_id=True, work_s=0.4)
+    world = samples.world_of(1, started_ms=BORN, keeps_id=True, work_s=0.4)
     box = world.boxes["box-0"]
     request = samples.post(world, "box-0")
     world.run(0.05)
@@ -124,7 +124,7 @@
         2.1, events.ProbeAnswered(healthy=True, target_id="i-a", slots=8)
     )
     assert watch.phase is messages.Phase.READY
-    watch.heartbeat(2.2, heartbeat(1, ready=False, gone=gone))
+    watch.heartbeat(2.2, heartbeat(1, ready=False, terminating=gone))
     assert watch.phase is messages.Phase.LEAVING
     watch.probe_answered(
         2.3, events.ProbeAnswered(healthy=True, target_id="i-a", slots=8)
@@ -140,8 +140,8 @@
     watch.probe_answered(
         2.1, events.ProbeAnswered(healthy=True, target_id="i-a", slots=8)
     )
-    watch.heartbeat(2.2, heartbeat(0, born=0, ready=False, gone=True))
+    watch.heartbeat(2.2, heartbeat(0, started_ms=0, ready=False, terminating=True))
     watch.heartbeat(2.5, heartbeat(7))
     assert watch.phase is messages.Phase.LEAVING
-    watch.heartbeat(20.0, heartbeat(8, born=BORN + 9000))
+    watch.heartbeat(20.0, heartbeat(8, started_ms=BORN + 9000))
     assert watch.phase is messages.Phase.READY
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -42,7 +42,9 @@
     world.targets.drain(leaving)
     world.run(0.1)
     leaving.sequence = 0
-    world.targets.report(leaving, ready=True, gone=False, answered=lambda taken: None)
+    world.targets.report(
+        leaving, ready=True, terminating=False, answered=lambda accepted: None
+    )
     world.run(0.1)
     assert leaving.core.inbound.target.phase != "ready"
 
@@ -96,6 +98,8 @@
     world.targets.drain(leaving)
     world.run(0.1)
     leaving.sequence += 10
-    world.targets.report(leaving, ready=True, gone=False, answered=lambda taken: None)
+    world.targets.report(
+        leaving, ready=True, terminating=False, answered=lambda accepted: None
+    )
     world.run(0.1)
     assert leaving.core.inbound.target.phase != "ready"
--- a/tests/mesh/test_target_watch.py
+++ b/tests/mesh/test_target_watch.py
@@ -25,7 +25,9 @@
     world.kill(box, 0.3)
     world.run(0.4)
     box.target.leaving = True
-    world.targets.report(box, ready=True, gone=False, answered=lambda taken: None)
+    world.targets.report(
+        box, ready=True, terminating=False, answered=lambda accepted: None
+    )
     world.run(4)
     assert phase(world, "box-1") != messages.Phase.READY
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -197,9 +197,9 @@
     body = b'{"service":"desk","address":"10.0.0.1:80","slots":8,"state":"draining",'
     body += b'"cold_remaining":"1500ms","sequence":4,"zone":"a","version":"v1"}'
     beat = heartbeats.read(1, "PUT", "/api/instances/i-1", body)
-    assert (beat.target_id, beat.ready, beat.gone) == ("i-1", False, False)
-    assert (beat.slots, beat.sequence, beat.cold_s) == (8, 4, 1.5)
-    assert heartbeats.read(1, "DELETE", "/api/instances/i-1", b"").gone
+    assert (beat.target_id, beat.ready, beat.terminating) == ("i-1", False, False)
+    assert (beat.slots, beat.sequence, beat.warmup_s) == (8, 4, 1.5)
+    assert heartbeats.read(1, "DELETE", "/api/instances/i-1", b"").terminating
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_odd_words.py
+++ b/tests/platform/test_odd_words.py
@@ -93,7 +93,7 @@
     box = world.boxes["box-0"]
     server = box.core.inbound.target
     before = (server.phase, server.incarnation)
-    values = {"slots": 8, "sequence": 1, "gone": False, "cold_s": 0.0}
+    values = {"slots": 8, "sequence": 1, "terminating": False, "warmup_s": 0.0}
     for ready in (True, False):
         odd = events.Heartbeat(
             conn=0,
@@ -119,7 +119,7 @@
 def test_a_report_with_any_value_in_a_field_raises_nothing(name, value):
     body = json.dumps(report_of(**{name: value})).encode()
     beat = heartbeats.read(1, "PUT", PATH, body)
-    assert beat is None or isinstance(beat.born, int)
+    assert beat is None or isinstance(beat.started_ms, int)
 
 
 @hypothesis.given(raw=strategies.binary(max_size=100))
