--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -70,10 +70,15 @@
         self.peers = peer_table.PeerTable(ctx=ctx)
         self.incoming_links = incoming_links.IncomingLinks(ctx=ctx)
         suspects = tracker.PoisonTracker(
-            ctx=ctx, records=records.SuspectRecords(), send_reports=self._send_suspects
+            ctx=ctx,
+            records=records.SuspectRecords(),
+            send_reports=self._broadcast_suspects,
         )
         self.inbound = inbound.Inbound(
-            ctx=ctx, reply=self._reply, announce=self._announce, suspects=suspects
+            ctx=ctx,
+            reply=self._reply,
+            announce=self._broadcast_state,
+            suspects=suspects,
         )
         self.policy_freshness = policy_freshness.PolicyFreshness(
             ttl_s=self.limits.revoke_s
@@ -129,13 +134,13 @@
         self._started = now
         self.quota_exchange.quota_enforcer.started_at = now
         self.inbound.target.start(now)
-        self.seeds_changed(now, self.seeds)
+        self.add_seeds(now, self.seeds)
         self.peers.start(now)
         self.outbound.start(now)
         self.registry.start(now)
-        return self._collect(now)
+        return self._take_effects(now)
 
-    def seeds_changed(self, now: float, seeds: tuple[str, ...]) -> None:
+    def add_seeds(self, now: float, seeds: tuple[str, ...]) -> None:
         """Add the daemons that the settings name, by address."""
         for seed in seeds:
             self.peers.add_address(now, seed)
@@ -143,7 +148,7 @@
     def handle(self, now: float, event: events.Event) -> list[effects.Effect]:
         """Return the effects of an event and of all timers that are due."""
         self._on_event(now, event)
-        return self._collect(now)
+        return self._take_effects(now)
 
     def next_wake(self) -> float | None:
         """Return the time of the next timer, or `None`."""
@@ -164,7 +169,7 @@
         known = self.peers.by_address.values()
         return all(peer.link is peers.LinkState.UP for peer in known)
 
-    def _collect(self, now: float) -> list[effects.Effect]:
+    def _take_effects(self, now: float) -> list[effects.Effect]:
         while (timer := self.ctx.pop_due_timer(now)) is not None:
             self._on_timer(now, timer)
         out, self.ctx.pending_effects = self.ctx.pending_effects, []
@@ -175,9 +180,9 @@
             case events.RequestReceived():
                 self.outbound.request_received(now, event)
             case events.OutgoingLinkMessage(address=address, message=message):
-                self._on_outgoing(now, address, message)
+                self._on_outgoing_message(now, address, message)
             case events.IncomingLinkMessage(link=link, message=message):
-                self._on_incoming(now, link, message)
+                self._on_incoming_message(now, link, message)
             case events.TargetAnswered():
                 self.inbound.target_answered(now, event)
             case events.TargetAnswerPart():
@@ -191,7 +196,7 @@
             case events.OutgoingLinkUp(address=address):
                 self.peers.link_up(now, address)
             case events.OutgoingLinkDown(address=address):
-                self._outgoing_down(now, address)
+                self._outgoing_link_down(now, address)
             case events.IncomingLinkDown(link=link):
                 self.incoming_links.remove(link)
                 self.inbound.link_down(now, link)
@@ -225,7 +230,7 @@
             case target_watch.ProbeTimer():
                 self.inbound.target.probe(now)
             case peer_table.LinkCheckTimer():
-                self._tick_peers(now)
+                self._check_links(now)
                 self.registry.step(now)
             case quota_exchange.QuotaReportTimer():
                 self.quota_exchange.send_reports(now)
@@ -234,8 +239,8 @@
             case shutdown.ShutdownTimer():
                 self.shutdown.check(now)
 
-    def _tick_peers(self, now: float) -> None:
-        self._count_targets(now)
+    def _check_links(self, now: float) -> None:
+        self._update_target_count(now)
         self.retry_exchange.tick(now)
         linked = [peer for peer in self.peers.by_address.values() if peer.in_flight]
         self.peers.check_links(now)
@@ -244,7 +249,7 @@
             if peer.link is peers.LinkState.DOWN:
                 self.outbound.link_down(now, peer)
 
-    def _count_targets(self, now: float) -> None:
+    def _update_target_count(self, now: float) -> None:
         """Have the retry budget know among how many targets the slack is divided.
 
         Others may be unknown until the records were read, and the daemons that start
@@ -257,12 +262,12 @@
             budget.started_at = self._started
         budget.observe_target_count(1 + self.peers.count_targets(self.identity.service))
 
-    def _outgoing_down(self, now: float, address: str) -> None:
+    def _outgoing_link_down(self, now: float, address: str) -> None:
         peer = self.peers.link_down(now, address)
         if peer is not None:
             self.outbound.link_down(now, peer)
 
-    def _on_outgoing(
+    def _on_outgoing_message(
         self, now: float, address: str, message: messages.AnyMessage
     ) -> None:
         """Act on a message of a daemon that this one dialled."""
@@ -307,7 +312,9 @@
                 changed = self.inbound.suspects.records.merge(now, reports)
                 self.inbound.crashes.suspects_changed(now, changed)
 
-    def _on_incoming(self, now: float, link: int, message: messages.AnyMessage) -> None:
+    def _on_incoming_message(
+        self, now: float, link: int, message: messages.AnyMessage
+    ) -> None:
         """Act on a message of a daemon that dialled this one."""
         if isinstance(message, messages.Hello):
             self._hello_received(now, link, message)
@@ -384,10 +391,10 @@
             case messages.Broken():
                 self.outbound.attempt_broken(now, None, message)
 
-    def _announce(self, now: float) -> None:
+    def _broadcast_state(self, now: float) -> None:
         """Send the target state of this box to all linked daemons."""
         self.policies.broadcast_state(now)
 
-    def _send_suspects(self, reports: list[messages.SuspectReport]) -> None:
+    def _broadcast_suspects(self, reports: list[messages.SuspectReport]) -> None:
         """Send what was learned of requests under which targets crashed."""
         self.incoming_links.broadcast(messages.SuspectReports(suspects=reports))
--- a/ferrydeck/mesh/daemon.py
+++ b/ferrydeck/mesh/daemon.py
@@ -62,7 +62,7 @@
     signal.signal(signal.SIGHUP, drv.reload_signalled)
     if reloads:
         drv.reload_signalled(signal.SIGHUP, None)
-    drv.decided("start", service=cfg.service, data_centre=cfg.data_centre)
+    drv.log_decision("start", service=cfg.service, data_centre=cfg.data_centre)
     drv.start_core()
     app.run()
     output.flush()
--- a/ferrydeck/mesh/decision_log.py
+++ b/ferrydeck/mesh/decision_log.py
@@ -18,11 +18,11 @@
 
 log = logbook.Logger(__name__)
 
-PLAIN_OUTCOMES = frozenset({"answered"})
+SUCCESS_OUTCOMES = frozenset({"answered"})
 """Outcomes of requests that went as planned: few lines are enough."""
-UNWRITTEN_MOST = 256 * 1024
+MAX_UNWRITTEN_BYTES = 256 * 1024
 """Bytes that wait for a reader of the log; further lines are left out."""
-WINDOW_S = 1.0
+RATE_WINDOW_S = 1.0
 """The time to which the limits of lines apply, seconds."""
 
 
@@ -38,7 +38,7 @@
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write a line, or leave it out where too much waits already."""
-        if len(self.unwritten) > UNWRITTEN_MOST:
+        if len(self.unwritten) > MAX_UNWRITTEN_BYTES:
             self.left_out += 1
             return
         line = {
@@ -91,7 +91,7 @@
         if now >= self._window_end:
             self._new_window(now)
         kind = (decision.kind, decision.outcome)
-        plain = decision.outcome in PLAIN_OUTCOMES
+        plain = decision.outcome in SUCCESS_OUTCOMES
         most = self.served_per_s if plain else self.failed_per_s
         if self._written[kind] >= most:
             self.left_out += 1
@@ -109,7 +109,7 @@
         )
 
     def _new_window(self, now: float) -> None:
-        self._window_end = now + WINDOW_S
+        self._window_end = now + RATE_WINDOW_S
         self._written.clear()
         if self._unreported:
             self._emit({"kind": "lines-left-out", "count": self._unreported})
--- a/ferrydeck/mesh/incarnations.py
+++ b/ferrydeck/mesh/incarnations.py
@@ -9,20 +9,20 @@
 
 UNKNOWN = 0
 """The time of birth of a target that does not state it."""
-MARK = "#"
+SEPARATOR = "#"
 """Separates the two; no id that came in the path of a call contains it."""
 
 
 def name(target_id: str, started_ms: int) -> str:
     """Return the name of an incarnation; `started_ms` is in milliseconds since 1970."""
-    return f"{target_id}{MARK}{started_ms}" if started_ms else target_id
+    return f"{target_id}{SEPARATOR}{started_ms}" if started_ms else target_id
 
 
 def id_of(incarnation: str) -> str:
     """Return the id under which the target of an incarnation answers."""
-    return incarnation.partition(MARK)[0]
+    return incarnation.partition(SEPARATOR)[0]
 
 
 def started_ms(incarnation: str) -> int:
     """Return when it started, milliseconds since 1970; `UNKNOWN` if not stated."""
-    return int(incarnation.partition(MARK)[2] or UNKNOWN)
+    return int(incarnation.partition(SEPARATOR)[2] or UNKNOWN)
--- a/ferrydeck/mesh/metrics.py
+++ b/ferrydeck/mesh/metrics.py
@@ -12,7 +12,7 @@
 from ferrydeck.mesh import core, effects
 from ferrydeck.mesh.members import peers
 
-SECONDS_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10)
+LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10)
 """Upper bounds of the buckets of request times, seconds."""
 
 GAUGES = {
@@ -54,7 +54,7 @@
             "ferrydeck_request_seconds",
             "Time from a request's arrival to its final answer, seconds.",
             ("route", "outcome"),
-            buckets=SECONDS_BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.store_calls = prometheus_client.Counter(
@@ -71,16 +71,16 @@
         }
         self._children: dict[tuple[object, ...], object] = {}
 
-    def decided(self, decision: effects.Decision) -> None:
+    def count_decision(self, decision: effects.Decision) -> None:
         """Count a decision."""
         reason = decision.reason if decision.outcome != "answered" else ""
         self._child(self.decisions, decision.kind, decision.outcome, str(reason)).inc()
 
-    def finished(self, done: effects.RequestFinished) -> None:
+    def observe_request(self, done: effects.RequestFinished) -> None:
         """Record how long a request took."""
         self._child(self.seconds, done.route, done.outcome).observe(done.seconds)
 
-    def store_called(self, call: str, result: str) -> None:
+    def count_store_call(self, call: str, result: str) -> None:
         """Count a call of the store."""
         self._child(self.store_calls, call, result).inc()
 
@@ -95,12 +95,12 @@
             "server_limit": core.inbound.limit,
             "peers_linked": sum(one.link is peers.LinkState.UP for one in known),
             "peers_known": len(known),
-            "policy_proof_age_seconds": _freshness_age_s(core, now),
+            "policy_proof_age_seconds": _policy_age_s(core, now),
             "store_silent_seconds": now - core.registry.last_answer_at,
             "store_era": core.registry.era,
             "policy_revision": _policy_revision(core),
             "policy_watch_age_seconds": core.registry.policy_watch_age_s(now),
-            **_retry_values(core),
+            **_retry_gauges(core),
             **others,
         }
         for name, value in values.items():
@@ -121,7 +121,7 @@
     return -1 if held is None else held
 
 
-def _retry_values(core: core.Core) -> dict[str, float]:
+def _retry_gauges(core: core.Core) -> dict[str, float]:
     state = core.inbound.retry_budget.snapshot()
     return {
         "retries_granted": state["granted"],
@@ -130,7 +130,7 @@
     }
 
 
-def _freshness_age_s(core: core.Core, now: float) -> float:
+def _policy_age_s(core: core.Core, now: float) -> float:
     held = core.ctx.policy
     bound = (
         held is not None
--- a/ferrydeck/mesh/net/bodies.py
+++ b/ferrydeck/mesh/net/bodies.py
@@ -11,7 +11,7 @@
 
 from ferrydeck.net import http
 
-MAX_CHUNK_LINE = 1024
+MAX_CHUNK_LINE_BYTES = 1024
 """The longest line that states the size of a chunk, bytes."""
 
 
@@ -19,7 +19,7 @@
     """Bytes that are no body in chunks."""
 
 
-class _At(enum.Enum):
+class _State(enum.Enum):
     SIZE = enum.auto()
     DATA = enum.auto()
     DATA_END = enum.auto()
@@ -34,7 +34,7 @@
     """Length, bytes; or `http.CHUNKED` or `http.UNTIL_CLOSE`."""
     done: bool = False
     _left: int = 0
-    _at: _At = _At.SIZE
+    _state: _State = _State.SIZE
 
     def __attrs_post_init__(self) -> None:
         if self.length >= 0:
@@ -73,13 +73,13 @@
     def _take_chunks(self, buffer: bytearray) -> bytes:
         out = bytearray()
         while not self.done:
-            match self._at:
-                case _At.DATA:
+            match self._state:
+                case _State.DATA:
                     data = self._take_data(buffer)
                     out += data
                     if self._left:
                         break
-                    self._at = _At.DATA_END
+                    self._state = _State.DATA_END
                 case _:
                     line = self._line(buffer)
                     if line is None:
@@ -88,15 +88,15 @@
         return bytes(out)
 
     def _take_line(self, line: bytes) -> None:
-        match self._at:
-            case _At.SIZE:
+        match self._state:
+            case _State.SIZE:
                 self._left = self._size(line)
-                self._at = _At.DATA if self._left else _At.TRAILER
-            case _At.DATA_END:
+                self._state = _State.DATA if self._left else _State.TRAILER
+            case _State.DATA_END:
                 if line:
                     raise BadBody("a chunk is longer than it says")
-                self._at = _At.SIZE
-            case _At.TRAILER:
+                self._state = _State.SIZE
+            case _State.TRAILER:
                 self.done = not line
 
     def _size(self, line: bytes) -> int:
@@ -108,7 +108,7 @@
     def _line(self, buffer: bytearray) -> bytes | None:
         end = buffer.find(b"\r\n")
         if end < 0:
-            if len(buffer) > MAX_CHUNK_LINE:
+            if len(buffer) > MAX_CHUNK_LINE_BYTES:
                 raise BadBody("a line that does not end")
             return None
         line = bytes(buffer[:end])
--- a/ferrydeck/mesh/net/deflate.py
+++ b/ferrydeck/mesh/net/deflate.py
@@ -13,12 +13,12 @@
 """Size of the state, as a power of two: 4 KB, some ten messages of small requests."""
 MEMORY_LEVEL = 5
 """With the window this makes 32 KB for a sender and 4 KB for a receiver."""
-LEVEL = 1
+COMPRESSION_LEVEL = 1
 """The quickest; higher ones save 2 in 100 of these frames' bytes more."""
-LARGEST = 64 * 1024
+MAX_FRAME_BYTES = 64 * 1024
 """Frames above this are sent as they are, bytes: long bodies share nothing with other
 frames and would push them out of the state."""
-FLUSHED = b"\x00\x00\xff\xff"
+SYNC_FLUSH_TAIL = b"\x00\x00\xff\xff"
 """What each flush ends with; it is left out on the wire."""
 
 
@@ -26,12 +26,14 @@
     """The sender's side of one direction."""
 
     def __init__(self) -> None:
-        self._state = zlib.compressobj(LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
+        self._state = zlib.compressobj(
+            COMPRESSION_LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL
+        )
 
     def pack(self, frame: bytes) -> bytes:
         """Return a frame compressed."""
         packed = self._state.compress(frame) + self._state.flush(zlib.Z_SYNC_FLUSH)
-        return packed.removesuffix(FLUSHED)
+        return packed.removesuffix(SYNC_FLUSH_TAIL)
 
 
 class Inflater:
@@ -43,9 +45,11 @@
     def unpack(self, packed: bytes) -> bytes:
         """Return a frame as it was; raises `ValueError` for anything else."""
         try:
-            frame = self._state.decompress(packed + FLUSHED, LARGEST + 1)
+            frame = self._state.decompress(
+                packed + SYNC_FLUSH_TAIL, MAX_FRAME_BYTES + 1
+            )
         except zlib.error as exc:
             raise ValueError(str(exc)) from exc
-        if len(frame) > LARGEST or self._state.unconsumed_tail:
+        if len(frame) > MAX_FRAME_BYTES or self._state.unconsumed_tail:
             raise ValueError("a compressed frame is too long")
         return frame
--- a/ferrydeck/mesh/net/driver.py
+++ b/ferrydeck/mesh/net/driver.py
@@ -16,9 +16,9 @@
 from ferrydeck.net import core_driver, poller
 from ferrydeck.platform import manifest
 
-SWEEP_EVERY_S = 0.1
+SWEEP_INTERVAL_S = 0.1
 """How often timeouts of connections are looked at, seconds."""
-FLUSH_S = 0.1
+EXIT_FLUSH_S = 0.1
 """Time for the last bytes to leave before the process ends, seconds."""
 
 
@@ -52,17 +52,17 @@
         self._reload_due = False
         self._sweep_at = 0.0
         self._open(poller)
-        poller.between = self.due_work
+        poller.between = self.run_due_work
 
-    def decided(self, kind: str, outcome: str = "", **inputs: object) -> None:
+    def log_decision(self, kind: str, outcome: str = "", **inputs: object) -> None:
         """Log and count what the driver itself decides."""
-        self._decided(effects.Decision(kind=kind, outcome=outcome, inputs=inputs))
+        self._log_decision(effects.Decision(kind=kind, outcome=outcome, inputs=inputs))
 
     @circuits.handler("generate_events")
     def _on_generate_events(self, event: circuits.Event) -> None:
-        event.reduce_time_left(self.due_work())
+        event.reduce_time_left(self.run_due_work())
 
-    def due_work(self) -> float:
+    def run_due_work(self) -> float:
         """Do what is due; return the time until more is, seconds."""
         now = clock.now()
         if self._reload_due:
@@ -86,19 +86,19 @@
 
     def exception_raised(self, name: str, value: object, trace: str) -> None:
         """Log and count an exception of a handler."""
-        self.decided("exception", name, detail=repr(value), trace=trace)
+        self.log_decision("exception", name, detail=repr(value), trace=trace)
 
     def carry_out(self, effect: effects.Effect) -> None:
         """Do what the core asks for."""
         match effect:
             case effects.Decision():
-                self._decided(effect)
+                self._log_decision(effect)
             case effects.SendOutgoing(address=address, message=message):
-                self.links.send_to(address, message)
+                self.links.send_outgoing(address, message)
             case effects.SendIncoming(link=link, message=message):
-                self.links.send_back(link, message)
+                self.links.send_incoming(link, message)
             case effects.RequestFinished():
-                self.metrics.finished(effect)
+                self.metrics.observe_request(effect)
             case effects.Reply():
                 self.endpoints.reply(effect)
             case effects.Dispatch():
@@ -122,11 +122,11 @@
             case effects.Dial(address=address):
                 self.links.dial(address)
             case effects.DeflateOutgoing(address=address):
-                self.links.deflate_to(address)
+                self.links.deflate_outgoing(address)
             case effects.DeflateIncoming(link=link):
-                self.links.deflate_back(link)
+                self.links.deflate_incoming(link)
             case effects.CloseLink(address=address):
-                self.links.hang_up(address)
+                self.links.close_link(address)
             case effects.Probe(path=path):
                 self.target.check_health(path)
             case effects.AckHeartbeat(conn=conn, accepted=accepted):
@@ -140,7 +140,7 @@
             case effects.StopAccepting():
                 self.endpoints.requests.stop_keep_alive()
             case effects.Exit():
-                self.end_at = clock.now() + FLUSH_S
+                self.end_at = clock.now() + EXIT_FLUSH_S
 
     def _open(self, poller: poller.Poller) -> None:
         cfg = self.cfg
@@ -159,25 +159,25 @@
             core=self.core,
             poller=poller,
             feed=self.feed,
-            decided=self.decided,
+            log_decision=self.log_decision,
             render_metrics=self._render_metrics,
         )
         self.endpoints.register(self)
 
-    def _decided(self, decision: effects.Decision) -> None:
-        self.metrics.decided(decision)
+    def _log_decision(self, decision: effects.Decision) -> None:
+        self.metrics.count_decision(decision)
         self.decisions.write(clock.now(), decision)
 
     def _store_answered(
         self, request: store.Request, result: store.Result, era: int
     ) -> None:
-        self.metrics.store_called(type(request).__name__, type(result).__name__)
+        self.metrics.count_store_call(type(request).__name__, type(result).__name__)
         self.feed(events.StoreAnswered(request=request, result=result, era=era))
 
     def _read_policy(self, raw: bytes, source: str) -> None:
         policy = manifest.read(raw, source)
         if isinstance(policy, findings.Rejected):
-            self.decided("policy-rejected", reason=str(policy), source=source)
+            self.log_decision("policy-rejected", reason=str(policy), source=source)
             return
         self.feed(events.PolicyRead(policy=policy, source=source))
 
@@ -196,17 +196,17 @@
         self._reload_due = False
         cfg = settings.load(self.path)
         if isinstance(cfg, findings.Rejected):
-            self.decided("reload", "rejected", reason=str(cfg))
+            self.log_decision("reload", "rejected", reason=str(cfg))
             return
         self.decisions.failed_per_s = cfg.log.failed_per_s
         self.decisions.served_per_s = cfg.log.served_per_s
-        self.core.seeds_changed(clock.now(), cfg.seed_links)
+        self.core.add_seeds(clock.now(), cfg.seed_links)
         kept = attrs.evolve(cfg, log=self.cfg.log, seeds=self.cfg.seeds)
         outcome = "taken" if kept == self.cfg else "needs-restart"
-        self.decided("reload", outcome)
+        self.log_decision("reload", outcome)
 
     def _sweep(self, now: float) -> None:
-        self._sweep_at = now + SWEEP_EVERY_S
+        self._sweep_at = now + SWEEP_INTERVAL_S
         self.store.api.expire(now)
         self.target.client.expire(now)
         self.endpoints.sweep(now)
--- a/ferrydeck/mesh/net/endpoints.py
+++ b/ferrydeck/mesh/net/endpoints.py
@@ -32,13 +32,13 @@
         core: core.Core,
         poller: poller.Poller,
         feed: Callable[[events.Event], None],
-        decided: Callable[..., None],
+        log_decision: Callable[..., None],
         render_metrics: Callable[[], bytes],
     ) -> None:
         self.core = core
         self.poller = poller
         self.feed = feed
-        self.decided = decided
+        self.log_decision = log_decision
         self.render_metrics = render_metrics
         self.limits = ingress.Limits()
         """What callers may send; the others that connect here keep the usual limits."""
@@ -109,9 +109,9 @@
             port=port,
             limits=limits,
             on_request=on_request,
-            on_gone=self._caller_gone,
+            on_disconnect=self._caller_disconnected,
             on_sent=self._answer_sent,
-            on_fault=self._malformed,
+            on_malformed=self._malformed,
         )
 
     def _request(self, request: ingress.Request) -> None:
@@ -119,7 +119,7 @@
         teams = policy is not None and bool(policy.teams)
         facts = headers.read_request(request.head.fields, teams=teams)
         if not facts.request_id or facts.deadline_fault or facts.key_fault:
-            self.decided(
+            self.log_decision(
                 "request", "declined", reason="bad-request", target=request.head.path
             )
             self.requests.reply(request.conn, 400, [], b"not-run: bad-request\n")
@@ -140,7 +140,7 @@
             )
         )
 
-    def _caller_gone(self, number: int) -> None:
+    def _caller_disconnected(self, number: int) -> None:
         self._request_ids.pop(number, None)
         self.feed(events.CallerDisconnected(conn=number))
 
@@ -148,14 +148,16 @@
         self.feed(events.CallerRead(conn=number, size=size))
 
     def _malformed(self, fault: http.Malformed) -> None:
-        self.decided("request", "malformed", reason=fault.detail, status=fault.status)
+        self.log_decision(
+            "request", "malformed", reason=fault.detail, status=fault.status
+        )
 
     def _heartbeat(self, request: ingress.Request) -> None:
         heartbeat = heartbeats.read(
             request.conn, request.head.method, request.head.path, request.body
         )
         if heartbeat is None:
-            self.decided("report", "malformed", target=request.head.path)
+            self.log_decision("report", "malformed", target=request.head.path)
             self.heartbeats.reply(request.conn, 400, [], b"")
             return
         self.feed(heartbeat)
--- a/ferrydeck/mesh/net/ingress.py
+++ b/ferrydeck/mesh/net/ingress.py
@@ -18,11 +18,11 @@
 from ferrydeck.mesh.net import bodies
 from ferrydeck.net import http, poller, sockets
 
-READ_AHEAD = 256 * 1024
+MAX_READ_AHEAD_BYTES = 256 * 1024
 """Bytes of further requests that are read ahead while one is answered."""
-MAX_BUFFERED = 96 * 1024 * 1024
+MAX_BUFFERED_BYTES = 96 * 1024 * 1024
 """Bytes of request bodies that are buffered at once: a third of a small box's RAM."""
-BACKLOG_LOW = 128 * 1024
+LOW_WATER_BYTES = 128 * 1024
 """Unsent bytes below which more of a long answer is asked for."""
 LAST_CHUNK = b"0\r\n\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -69,7 +69,7 @@
     """Whether the connection may serve a further request."""
     streaming: bool = False
     chunked: bool = False
-    owed: int = 0
+    unreported_bytes: int = 0
     """Bytes of a long answer that were given and not reported as sent."""
     since: float = 0.0
     """When it was last idle, or had bytes of the request that is being read."""
@@ -87,16 +87,16 @@
         port: int,
         limits: Limits,
         on_request: Callable[[Request], None],
-        on_gone: Callable[[int], None],
+        on_disconnect: Callable[[int], None],
         on_sent: Callable[[int, int], None],
-        on_fault: Callable[[http.Malformed], None],
+        on_malformed: Callable[[http.Malformed], None],
     ) -> None:
         super().__init__(poller=poller, channel=channel)
         self.limits = limits
         self.on_request = on_request
-        self.on_gone = on_gone
+        self.on_disconnect = on_disconnect
         self.on_sent = on_sent
-        self.on_fault = on_fault
+        self.on_malformed = on_malformed
         self.by_number: dict[int, CallerConn] = {}
         self.buffered = 0
         self.closing = False
@@ -115,10 +115,10 @@
                 # The time for a head runs from its first byte on.
                 conn.since = clock.now()
             conn.inbuf += data
-            self._next_request(conn)
+            self._dispatch_request(conn)
             return
         conn.inbuf += data
-        if len(conn.inbuf) > READ_AHEAD:
+        if len(conn.inbuf) > MAX_READ_AHEAD_BYTES:
             self.pause_reading(conn)
 
     def reply(
@@ -143,9 +143,9 @@
         if not more:
             self._finish(conn)
             self.send(conn, head + body)
-            self._after(conn)
+            self._after_response(conn)
             return
-        conn.owed += len(body)
+        conn.unreported_bytes += len(body)
         self.send(conn, head + self._framed(conn, body))
         self._report_sent(conn)
 
@@ -154,7 +154,7 @@
         conn = self.by_number.get(number)
         if conn is None or conn.closed:
             return
-        conn.owed += len(data)
+        conn.unreported_bytes += len(data)
         framed = self._framed(conn, data)
         if last:
             framed += LAST_CHUNK if conn.chunked else b""
@@ -162,7 +162,7 @@
             self._finish(conn)
         self.send(conn, framed)
         if last:
-            self._after(conn)
+            self._after_response(conn)
         else:
             self._report_sent(conn)
 
@@ -192,7 +192,7 @@
         number = conn.number
         if number:
             self._finish(conn)
-            self.on_gone(number)
+            self.on_disconnect(number)
 
     def sweep(self, now: float) -> None:
         """Close connections idle for too long, reject requests that stop midway."""
@@ -205,9 +205,9 @@
             elif not begun and now - conn.since > self.limits.idle_s:
                 self.shut(conn)
 
-    def _after(self, conn: CallerConn) -> None:
+    def _after_response(self, conn: CallerConn) -> None:
         if not conn.closed and not conn.close_when_sent:
-            self._next_request(conn)
+            self._dispatch_request(conn)
 
     def _head(
         self, conn: CallerConn, status: int, fields: http.Fields, length: int
@@ -223,11 +223,11 @@
         return b"%x\r\n%s\r\n" % (len(data), data)
 
     def _report_sent(self, conn: CallerConn) -> None:
-        if not conn.streaming or not conn.number or len(conn.outbuf) > BACKLOG_LOW:
+        if not conn.streaming or not conn.number or len(conn.outbuf) > LOW_WATER_BYTES:
             return
-        owed, conn.owed = conn.owed, 0
-        if owed:
-            self.on_sent(conn.number, owed)
+        unreported_bytes, conn.unreported_bytes = conn.unreported_bytes, 0
+        if unreported_bytes:
+            self.on_sent(conn.number, unreported_bytes)
 
     def _finish(self, conn: CallerConn) -> None:
         self.by_number.pop(conn.number, None)
@@ -236,7 +236,7 @@
         conn.head = None
         conn.reader = None
         conn.streaming = False
-        conn.owed = 0
+        conn.unreported_bytes = 0
         conn.since = clock.now()
         self.resume_reading(conn)
 
@@ -244,7 +244,7 @@
         self.buffered -= len(conn.body)
         conn.body = bytearray()
 
-    def _next_request(self, conn: CallerConn) -> None:
+    def _dispatch_request(self, conn: CallerConn) -> None:
         """Hand on the request at the front of the buffer, once it is whole."""
         if conn.close_when_sent or conn.closed:
             return
@@ -307,14 +307,14 @@
         if len(conn.body) > self.limits.body_bytes:
             self._reject(conn, http.Malformed(status=413, detail="body too large"))
             return False
-        if self.buffered > MAX_BUFFERED and not conn.reader.done:
+        if self.buffered > MAX_BUFFERED_BYTES and not conn.reader.done:
             self._reject(conn, http.Malformed(status=503, detail="no memory left"))
             return False
         return conn.reader.done
 
     def _reject(self, conn: CallerConn, fault: http.Malformed) -> None:
         """Answer what is no request and close: where the next begins isn't known."""
-        self.on_fault(fault)
+        self.on_malformed(fault)
         body = f"not-run: {fault.detail}\n".encode("latin-1", "replace")
         conn.inbuf.clear()
         conn.close_when_sent = True
--- a/ferrydeck/mesh/net/links.py
+++ b/ferrydeck/mesh/net/links.py
@@ -18,15 +18,15 @@
 from ferrydeck.mesh.net import deflate
 from ferrydeck.net import frame_links, poller, sockets
 
-DEFLATED = 1 << 31
+DEFLATED_FLAG = 1 << 31
 """Set in the length of a frame that is compressed."""
-DEFLATED_LINKS = 128
+MAX_DEFLATED_LINKS = 128
 """Links that are compressed at most: with 36 KB each they take 5 MB."""
-LONGEST = 72 * 1024 * 1024
+MAX_MESSAGE_BYTES = 72 * 1024 * 1024
 """The longest message, bytes: a request with the largest body of the platform."""
-BACKLOG = 8 * 1024 * 1024
+MAX_UNSENT_BYTES = 8 * 1024 * 1024
 """Unsent bytes on a link from which on it counts as lost."""
-UNACKED_MS = 3000
+ACK_TIMEOUT_MS = 3000
 """How long sent bytes may stay unacknowledged until the kernel ends a connection,
 milliseconds."""
 
@@ -46,8 +46,8 @@
 class Links(frame_links.FrameLinks):
     """Dials, accepts and serves the links of one daemon."""
 
-    longest = LONGEST
-    flags = DEFLATED
+    longest = MAX_MESSAGE_BYTES
+    flags = DEFLATED_FLAG
 
     def __init__(
         self,
@@ -70,42 +70,42 @@
         if sock is None:
             self.feed(events.OutgoingLinkDown(address=address, was_up=False))
             return
-        set_unacked(sock)
+        set_ack_timeout(sock)
         link = Link(sock=sock, address=address)
         self.outgoing[address] = link
         self.adopt(link)
         self.await_writable(link)
 
-    def hang_up(self, address: str) -> None:
+    def close_link(self, address: str) -> None:
         """Close a link that was dialled; no event follows."""
         link = self.outgoing.pop(address, None)
         if link is not None:
             link.address = ""
             self.shut(link)
 
-    def send_to(self, address: str, message: messages.AnyMessage) -> None:
+    def send_outgoing(self, address: str, message: messages.AnyMessage) -> None:
         """Send a message on a link that was dialled."""
         link = self.outgoing.get(address)
         if link is not None and link.connected:
             self._write(link, message)
 
-    def send_back(self, number: int, message: messages.AnyMessage) -> None:
+    def send_incoming(self, number: int, message: messages.AnyMessage) -> None:
         """Send a message on a link that another daemon dialled."""
         link = self.incoming.get(number)
         if link is not None:
             self._write(link, message)
 
-    def deflate_to(self, address: str) -> None:
+    def deflate_outgoing(self, address: str) -> None:
         """Compress what is sent from now on, on a link that was dialled."""
         self._deflate(self.outgoing.get(address))
 
-    def deflate_back(self, number: int) -> None:
+    def deflate_incoming(self, number: int) -> None:
         """Compress what is sent from now on, on a link that another daemon dialled."""
         self._deflate(self.incoming.get(number))
 
     def link_accepted(self, sock: socket.socket) -> None:
         """Read a link that another daemon made."""
-        set_unacked(sock)
+        set_ack_timeout(sock)
         link = Link(sock=sock, number=next(_numbers), connected=True)
         self.incoming[link.number] = link
         self.adopt(link)
@@ -139,20 +139,20 @@
             self.feed(events.IncomingLinkDown(link=link.number))
 
     def _write(self, link: Link, message: messages.AnyMessage) -> None:
-        if len(link.outbuf) > BACKLOG:
+        if len(link.outbuf) > MAX_UNSENT_BYTES:
             self._fail(link, "backlog")
             return
         frame = messages.encode(message)
         flag = 0
-        if link.deflater is not None and len(frame) <= deflate.LARGEST:
+        if link.deflater is not None and len(frame) <= deflate.MAX_FRAME_BYTES:
             frame = link.deflater.pack(frame)
-            flag = DEFLATED
+            flag = DEFLATED_FLAG
         self.bytes_out += len(frame) + frame_links.LENGTH.size
         self.send(link, frame_links.LENGTH.pack(len(frame) | flag) + frame)
 
     def _deflate(self, link: Link | None) -> None:
         deflated = sum(one.deflater is not None for one in self.conns.values())
-        if link is not None and deflated < DEFLATED_LINKS:
+        if link is not None and deflated < MAX_DEFLATED_LINKS:
             link.deflater = deflate.Deflater()
 
     def _inflated(self, link: Link, frame: bytes) -> bytes:
@@ -161,6 +161,6 @@
         return link.inflater.unpack(frame)
 
 
-def set_unacked(sock: socket.socket) -> None:
+def set_ack_timeout(sock: socket.socket) -> None:
     """Have the kernel end a connection whose bytes nobody acknowledges."""
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS)
--- a/ferrydeck/mesh/net/store_client.py
+++ b/ferrydeck/mesh/net/store_client.py
@@ -15,14 +15,14 @@
 from ferrydeck.net import api_client, poller
 from ferrydeck.platform import kv
 
-CONNECTIONS = 8
+MAX_CONNECTIONS = 8
 """Connections at once: two watches, and a few calls beside them."""
-TIMEOUT_S = 1.5
+CALL_TIMEOUT_S = 1.5
 """How long a call may take, seconds: a slow store of the users' pages takes 0.3."""
 
 
 @attrs.define(kw_only=True)
-class Asked:
+class PendingRequest:
     """A request that was sent, with the pages that came so far."""
 
     request: store.Request
@@ -43,51 +43,53 @@
     ) -> None:
         self.answered = answered
         self.api = api_client.ApiClient(
-            poller=poller, channel="store", address=address, limit=CONNECTIONS
+            poller=poller, channel="store", address=address, limit=MAX_CONNECTIONS
         )
 
     def ask(self, request: store.Request) -> None:
         """Send a request; its result comes to `answered`."""
-        self._send(Asked(request=request), kv.to_http(request))
+        self._send(PendingRequest(request=request), kv.to_http(request))
 
-    def _send(self, asked: Asked, call: api_client.Call) -> None:
-        wait_s = getattr(asked.request, "wait_s", 0.0)
+    def _send(self, pending: PendingRequest, call: api_client.Call) -> None:
+        wait_s = getattr(pending.request, "wait_s", 0.0)
         self.api.send(
             call,
-            timeout_s=TIMEOUT_S + wait_s,
-            answered=functools.partial(self._answered, asked),
+            timeout_s=CALL_TIMEOUT_S + wait_s,
+            answered=functools.partial(self._answered, pending),
             fields=api_client.JSON_FIELDS if call.body else None,
         )
 
-    def _answered(self, asked: Asked, answer: api_client.Result) -> None:
+    def _answered(self, pending: PendingRequest, answer: api_client.Result) -> None:
         match answer:
             case api_client.Answer():
-                result = self._read(asked, answer)
+                result = self._read(pending, answer)
             case api_client.NoAnswer(detail=detail):
                 result = store.NoAnswer(detail=detail)
         if result is not None:
-            self.answered(asked.request, result, asked.era or 0)
+            self.answered(pending.request, result, pending.era or 0)
 
-    def _read(self, asked: Asked, answer: api_client.Answer) -> store.Result | None:
+    def _read(
+        self, pending: PendingRequest, answer: api_client.Answer
+    ) -> store.Result | None:
         """Return the result of an answer, `None` where another page is awaited."""
         try:
             era = kv.era(answer.fields)
         except ValueError as exc:
             return store.NoAnswer(detail=f"answer not understood: {exc}")
-        if asked.era not in (None, era):
+        if pending.era not in (None, era):
             return store.NoAnswer(detail="pages of two eras")
-        asked.era = era
-        asked.pages.append(answer.body)
-        if self._more(asked, answer.status, answer.body):
+        pending.era = era
+        pending.pages.append(answer.body)
+        if self._more(pending, answer.status, answer.body):
             return None
-        return kv.from_http(asked.request, answer.status, asked.pages)
+        return kv.from_http(pending.request, answer.status, pending.pages)
 
-    def _more(self, asked: Asked, status: int, body: bytes) -> bool:
+    def _more(self, pending: PendingRequest, status: int, body: bytes) -> bool:
         """Ask for the next page; false where there is none."""
-        if status != 200 or not isinstance(asked.request, store.ReadBoxes):
+        if status != 200 or not isinstance(pending.request, store.ReadBoxes):
             return False
         last = kv.last_key(body)
         if not last:
             return False
-        self._send(asked, kv.next_page(asked.request, last))
+        self._send(pending, kv.next_page(pending.request, last))
         return True
--- a/ferrydeck/mesh/net/target.py
+++ b/ferrydeck/mesh/net/target.py
@@ -13,9 +13,9 @@
 from ferrydeck.net import poller, request_client
 from ferrydeck.platform import headers
 
-HEALTH_CHECK = -1
+HEALTH_CHECK_TICKET = -1
 """The ticket of a health check; those of requests are above zero."""
-HEALTH_CHECK_S = 1.0
+HEALTH_CHECK_TIMEOUT_S = 1.0
 """How long a health check waits for its answer, seconds."""
 
 
@@ -51,21 +51,21 @@
     def check_health(self, path: str) -> None:
         """Send a health check; `ProbeAnswered` follows."""
         self.client.request(
-            HEALTH_CHECK,
+            HEALTH_CHECK_TICKET,
             method="GET",
             path=path,
             fields=[(headers.HOST, self.address)],
             body=b"",
             is_answer=lambda fields: True,
-            left_s=HEALTH_CHECK_S,
+            left_s=HEALTH_CHECK_TIMEOUT_S,
         )
 
     def _answered(self, event: target_client.Event) -> None:
-        if event.ticket == HEALTH_CHECK:
+        if event.ticket == HEALTH_CHECK_TICKET:
             self._health_checked(event)
             return
         match event:
-            case target_client.Head():
+            case target_client.AnswerHead():
                 self.feed(
                     events.TargetAnswered(
                         dispatch=event.ticket,
@@ -77,7 +77,7 @@
                         facts=headers.read_answer(event.status, event.fields),
                     )
                 )
-            case target_client.Piece(ticket=ticket, data=data, last=last):
+            case target_client.AnswerPart(ticket=ticket, data=data, last=last):
                 self.feed(
                     events.TargetAnswerPart(dispatch=ticket, data=data, last=last)
                 )
@@ -92,7 +92,7 @@
                 )
 
     def _health_checked(self, event: target_client.Event) -> None:
-        if not isinstance(event, target_client.Head):
+        if not isinstance(event, target_client.AnswerHead):
             refused = isinstance(event, request_client.Lost) and event.refused
             self.feed(
                 events.ProbeAnswered(
--- a/ferrydeck/mesh/net/target_client.py
+++ b/ferrydeck/mesh/net/target_client.py
@@ -16,32 +16,32 @@
 from ferrydeck.mesh.net import bodies
 from ferrydeck.net import http, poller, request_client
 
-WHOLE = 64 * 1024
+MAX_WHOLE_BODY_BYTES = 64 * 1024
 """A body up to this length is handed on whole, bytes."""
-IDLE_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 """How long an idle connection may be used again, if the target states none, seconds."""
-IDLE_SHARE = 0.7
+IDLE_TIMEOUT_RATIO = 0.7
 """Share of the stated time after which an idle connection isn't used again."""
-STALE_S = 0.05
+STALE_LOSS_S = 0.05
 """A request on a connection that was idle, lost this soon and without a byte of an
 answer, shows that the target had dropped the connection, seconds."""
-STALE_SHARE = 0.7
+STALE_IDLE_RATIO = 0.7
 """Share of the idle time that a connection did not survive after which others aren't
 used."""
-RELEARN_S = 10.0
+STALE_MEMORY_S = 10.0
 """How long what was learned of dropped connections holds, seconds."""
-PROBES = 2
+KEEPALIVE_PROBES = 2
 """Unanswered probes of the kernel after which a connection to the target is lost."""
-UNACKED_MS = 3000
+ACK_TIMEOUT_MS = 3000
 """How long a target may leave sent bytes unacknowledged until the kernel ends the
 connection, milliseconds."""
-LATE_SLACK_S = 0.1
+DEADLINE_GRACE_S = 0.1
 """How much later than its deadline a target's answer is still waited for, seconds."""
-KEEP_ALIVE = "keep-alive"
+KEEP_ALIVE_FIELD = "keep-alive"
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Head:
+class AnswerHead:
     """An answer's head, with all of its body or the first part."""
 
     ticket: int
@@ -54,7 +54,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Piece:
+class AnswerPart:
     """A further part of a long answer."""
 
     ticket: int
@@ -62,7 +62,7 @@
     last: bool
 
 
-Event = Head | Piece | request_client.Lost
+Event = AnswerHead | AnswerPart | request_client.Lost
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -76,7 +76,7 @@
     foreign: bool = False
     """Whether the answer that is being read belongs to another request."""
     idle_until: float = 0.0
-    idle_limit_s: float = IDLE_S
+    idle_limit_s: float = DEFAULT_IDLE_TIMEOUT_S
     idle_since: float = 0.0
     idle_s: float = 0.0
     """How long it was idle before the request in hand; 0 for a new connection."""
@@ -88,8 +88,8 @@
     """Sends requests to the target and hands their answers to `listener`."""
 
     conn_class = TargetConn
-    probes = PROBES
-    unacked_ms = UNACKED_MS
+    probes = KEEPALIVE_PROBES
+    unacked_ms = ACK_TIMEOUT_MS
     until_close = True
 
     def __init__(
@@ -103,9 +103,9 @@
             poller=poller, channel="target", address=address, listener=listener
         )
         self.opened = 0
-        self._survives_s = float("inf")
+        self._safe_idle_s = float("inf")
         """Idle time after which connections were lately found dropped, seconds."""
-        self._learned_at = 0.0
+        self._stale_seen_at = 0.0
 
     def request(
         self,
@@ -134,11 +134,11 @@
         conn.foreign = False
         conn.body = bytearray()
         data = request_bytes(method, path, fields, body)
-        if len(data) > WHOLE:
+        if len(data) > MAX_WHOLE_BODY_BYTES:
             # The target may leave a long body unread, which the kernel would take for
             # silence.
             conn.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
-        self._start(conn, ticket, now + left_s + LATE_SLACK_S, data)
+        self._start(conn, ticket, now + left_s + DEADLINE_GRACE_S, data)
 
     def expire(self, now: float) -> None:
         """Give up requests past their deadline, close connections idle for long."""
@@ -173,7 +173,7 @@
         if data:
             del conn.body[: len(data)]
             conn.credit -= len(data)
-            self.listener(Piece(ticket=conn.ticket, data=data, last=False))
+            self.listener(AnswerPart(ticket=conn.ticket, data=data, last=False))
 
     def ended(self, conn: TargetConn) -> None:
         """Act on the end of a connection: an answer without length is whole then."""
@@ -182,7 +182,7 @@
         if not conn.ticket:
             return
         if conn.read_error or conn.reader is None or not conn.reader.ended():
-            self._learn_stale(conn)
+            self._record_stale(conn)
             self._report_lost(conn, "connection ended", refused=not conn.connected)
             return
         if conn.foreign:
@@ -206,12 +206,12 @@
                 return
             conn.body += conn.reader.take(conn.inbuf)
             if not conn.reader.done:
-                self._keep_long(conn)
+                self._start_streaming(conn)
                 return
             if conn.foreign:
-                self._skip(conn)
+                self._discard_foreign(conn)
                 continue
-            self._whole(conn)
+            self._complete(conn)
 
     def _read_head(self, conn: TargetConn) -> bool:
         if not super()._read_head(conn):
@@ -224,9 +224,9 @@
         conn.foreign = not conn.is_answer(conn.head.fields)
         return True
 
-    def _keep_long(self, conn: TargetConn) -> None:
+    def _start_streaming(self, conn: TargetConn) -> None:
         """Start to hand a long answer on in parts."""
-        if len(conn.body) < WHOLE:
+        if len(conn.body) < MAX_WHOLE_BODY_BYTES:
             return
         if conn.foreign:
             conn.body.clear()
@@ -236,7 +236,7 @@
         conn.body = bytearray()
         self.pause_reading(conn)
         self.listener(
-            Head(
+            AnswerHead(
                 ticket=conn.ticket,
                 status=conn.head.status,
                 fields=conn.head.fields,
@@ -246,13 +246,13 @@
             )
         )
 
-    def _skip(self, conn: TargetConn) -> None:
+    def _discard_foreign(self, conn: TargetConn) -> None:
         """Drop a late answer to an earlier request; the right one may follow."""
         conn.head = None
         conn.reader = None
         conn.body = bytearray()
 
-    def _whole(self, conn: TargetConn) -> None:
+    def _complete(self, conn: TargetConn) -> None:
         self._report_whole(conn)
         if not conn.closed:
             self._release(conn)
@@ -263,7 +263,7 @@
         body = bytes(conn.body)
         conn.body = bytearray()
         self.listener(
-            Head(
+            AnswerHead(
                 ticket=ticket,
                 status=conn.head.status,
                 fields=conn.head.fields,
@@ -278,7 +278,7 @@
         self.by_ticket.pop(ticket, None)
         data = bytes(conn.body)
         conn.body = bytearray()
-        self.listener(Piece(ticket=ticket, data=data, last=True))
+        self.listener(AnswerPart(ticket=ticket, data=data, last=True))
 
     def _release(self, conn: TargetConn) -> None:
         """Keep a connection whose request is done, if it may be used again."""
@@ -291,7 +291,7 @@
         now = clock.now()
         stated_s = keep_alive_s(conn.head.fields)
         if stated_s is not None:
-            conn.idle_limit_s = stated_s * IDLE_SHARE
+            conn.idle_limit_s = stated_s * IDLE_TIMEOUT_RATIO
         conn.idle_since = now
         conn.idle_until = now + conn.idle_limit_s
         self.resume_reading(conn)
@@ -299,24 +299,24 @@
 
     def _reuse(self, now: float) -> TargetConn | None:
         """Return the connection that was idle least, if it may be used again."""
-        if now - self._learned_at > RELEARN_S:
-            self._survives_s = float("inf")
+        if now - self._stale_seen_at > STALE_MEMORY_S:
+            self._safe_idle_s = float("inf")
         while self.idle:
             conn = self.idle.pop()
             conn.idle_s = now - conn.idle_since
-            if now < conn.idle_until and conn.idle_s < self._survives_s:
+            if now < conn.idle_until and conn.idle_s < self._safe_idle_s:
                 return conn
             self.shut(conn)
         return None
 
-    def _learn_stale(self, conn: TargetConn) -> None:
+    def _record_stale(self, conn: TargetConn) -> None:
         """Learn from a connection that the target had dropped while it was idle."""
         now = clock.now()
         answered = conn.head is not None or conn.inbuf
-        if not conn.idle_s or answered or now - conn.started_at > STALE_S:
+        if not conn.idle_s or answered or now - conn.started_at > STALE_LOSS_S:
             return
-        self._survives_s = min(self._survives_s, STALE_SHARE * conn.idle_s)
-        self._learned_at = now
+        self._safe_idle_s = min(self._safe_idle_s, STALE_IDLE_RATIO * conn.idle_s)
+        self._stale_seen_at = now
 
 
 def request_bytes(method: str, path: str, fields: http.Fields, body: bytes) -> bytes:
@@ -331,7 +331,7 @@
 
 def keep_alive_s(fields: http.Fields) -> float | None:
     """Return how long the target keeps an idle connection, `None` if it states none."""
-    stated = dict(fields).get(KEEP_ALIVE, "")
+    stated = dict(fields).get(KEEP_ALIVE_FIELD, "")
     for part in stated.split(","):
         name, _, value = part.strip().partition("=")
         if name == "timeout" and value.isdigit():
--- a/ferrydeck/mesh/settings.py
+++ b/ferrydeck/mesh/settings.py
@@ -15,7 +15,7 @@
 from ferrydeck.mesh import context, switches
 from ferrydeck.platform import limits
 
-ANY_NAME = options.Text(pattern=r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
+NAME = options.Text(pattern=r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
 ADDRESS = options.Address()
 FREE_TEXT = options.Text(pattern=r".*")
 
@@ -38,11 +38,11 @@
 class Settings:
     """Everything that the daemon reads before it starts."""
 
-    box: str = options.option(ANY_NAME)
-    data_centre: str = options.option(ANY_NAME)
-    region: str = options.option(ANY_NAME)
+    box: str = options.option(NAME)
+    data_centre: str = options.option(NAME)
+    region: str = options.option(NAME)
     ip: str = options.option(options.Address(port=False))
-    service: str = options.option(ANY_NAME)
+    service: str = options.option(NAME)
     """The service of the target on this box."""
     target: str = options.option(ADDRESS)
     """Where that target answers."""
--- a/ferrydeck/mesh/shutdown.py
+++ b/ferrydeck/mesh/shutdown.py
@@ -12,17 +12,17 @@
 from ferrydeck.mesh.inbound import inbound
 from ferrydeck.mesh.outbound import outbound
 
-INBOUND_CLOSES_S = 2.4
+INBOUND_CLOSE_DELAY_S = 2.4
 """From a signal to stop until the inbound side rejects new requests, seconds: the
 process has to stay for its callers anyway, and what is admitted until then ends by the
 time they have left. Its target then idles for half as long as if it closed at once."""
-STAY_S = 3.0
+MIN_SHUTDOWN_S = 3.0
 """From a signal to stop until the process may end, seconds: callers go elsewhere after
 two failed checks of readiness, a second apart, and what they sent before has to end."""
-END_MARGIN_S = 0.9
+EXIT_MARGIN_S = 0.9
 """Time before the end of the grace at which the process begins to end at the latest,
 seconds: the loop and the interpreter take up to half a second to end."""
-CHECK_EVERY_S = 0.1
+CHECK_INTERVAL_S = 0.1
 """How often it is checked what is due, seconds."""
 
 
@@ -43,11 +43,11 @@
     """Whether no request is open on either side."""
 
 
-def may_end(progress: Progress) -> bool:
+def may_exit(progress: Progress) -> bool:
     """Return whether the process may end: open requests are waited for in the grace."""
-    if progress.since_s >= progress.grace_s - END_MARGIN_S:
+    if progress.since_s >= progress.grace_s - EXIT_MARGIN_S:
         return True
-    return progress.since_s >= STAY_S and progress.idle
+    return progress.since_s >= MIN_SHUTDOWN_S and progress.idle
 
 
 @attrs.define(kw_only=True)
@@ -68,22 +68,22 @@
         self.ctx.note(
             "stop", outcome="asked", calls=len(self.outbound.requests.by_conn)
         )
-        self.ctx.set_timer(now + CHECK_EVERY_S, ShutdownTimer())
+        self.ctx.set_timer(now + CHECK_INTERVAL_S, ShutdownTimer())
 
     def check(self, now: float) -> None:
         """Close the sides and end the process as it is due."""
         since_s = now - self._stop_at
-        if since_s >= INBOUND_CLOSES_S and not self.inbound.stopping:
+        if since_s >= INBOUND_CLOSE_DELAY_S and not self.inbound.stopping:
             self.inbound.stop(now)
             self.ctx.emit(effects.StopAccepting())
-        self.outbound.stopping = since_s >= STAY_S
+        self.outbound.stopping = since_s >= MIN_SHUTDOWN_S
         progress = Progress(
             since_s=since_s,
             grace_s=self.ctx.limits.grace_s,
             idle=not self.outbound.requests.by_conn and not self.inbound.busy,
         )
-        if not may_end(progress):
-            self.ctx.set_timer(now + CHECK_EVERY_S, ShutdownTimer())
+        if not may_exit(progress):
+            self.ctx.set_timer(now + CHECK_INTERVAL_S, ShutdownTimer())
             return
         self.ctx.note(
             "stop",
--- a/tests/mesh/faults.py
+++ b/tests/mesh/faults.py
@@ -11,14 +11,14 @@
 from tests.mesh import samples, simulation
 from tests.mesh.simulation import links
 
-DRAIN_S = 2.0
+DRAIN_TIMEOUT_S = 2.0
 STEP_S = 0.02
-CALM_S = 8.0
+RECOVERY_S = 8.0
 """Time without faults at the end, after which all must be served again, seconds."""
 
 
 @attrs.define(kw_only=True)
-class Played:
+class ScheduleResult:
     """A schedule that was played: what broke, and how much was served."""
 
     seed: int
@@ -46,7 +46,7 @@
     """Ids of targets that leave, with the time of the acknowledgement."""
     _version: int = 4
 
-    def strike(self) -> None:
+    def inject_fault(self) -> None:
         """Begin a fault that was drawn."""
         kinds = [
             self._kill,
@@ -67,7 +67,7 @@
         self.done.append(f"{self.world.now:.2f} {kind.__name__[1:]}")
         kind()
 
-    def calm(self) -> None:
+    def clear_faults(self) -> None:
         """End all faults that do not end by themselves."""
         world = self.world
         world.store.up = True
@@ -148,14 +148,14 @@
             return
         target_id = box.target.target_id
 
-        def acked(accepted: bool) -> None:
+        def acknowledged(accepted: bool) -> None:
             if accepted:
                 self.leaving.setdefault(target_id, self.world.now)
 
         by_leave = self.rng.random() < 0.3
         box.target.leaving = True
         self.world.targets.report(
-            box, ready=False, terminating=by_leave, answered=acked
+            box, ready=False, terminating=by_leave, answered=acknowledged
         )
         self.world.after(4.0, lambda: self.world.targets.replace(box))
 
@@ -183,7 +183,7 @@
         )
 
 
-def play(seed: int, *, boxes: int = 6, seconds: float = 20.0) -> Played:
+def run_schedule(seed: int, *, boxes: int = 6, seconds: float = 20.0) -> ScheduleResult:
     """Play a schedule drawn from a seed and check what callers and targets saw."""
     rng = random.Random(seed)
     world = simulation.World(seed=seed)
@@ -194,20 +194,20 @@
     schedule = Schedule(world=world, rng=rng)
     next_at = world.now + 1.0
     ends = world.now + seconds
-    while world.now < ends + CALM_S:
+    while world.now < ends + RECOVERY_S:
         if next_at <= world.now < ends:
-            schedule.strike()
+            schedule.inject_fault()
             next_at = world.now + rng.uniform(0.2, 3.0)
         if world.now >= ends and next_at != float("inf"):
-            schedule.calm()
+            schedule.clear_faults()
             next_at = float("inf")
-        _ask(world, rng)
+        _send_requests(world, rng)
         world.run(STEP_S)
     world.run(3.0)
-    return _judged(seed, world, schedule)
+    return _result(seed, world, schedule)
 
 
-def _ask(world: simulation.World, rng: random.Random) -> None:
+def _send_requests(world: simulation.World, rng: random.Random) -> None:
     for box in world.boxes.values():
         if not box.up or rng.random() > 0.5:
             continue
@@ -216,15 +216,15 @@
             box, host=samples.HOST, path="/pay/1" if once else "/look/1", once=once
         )
         if rng.random() < 0.05:
-            world.after(rng.uniform(0.0, 0.1), lambda one=req: _leave(world, one))
+            world.after(rng.uniform(0.0, 0.1), lambda one=req: _disconnect(world, one))
 
 
-def _leave(world: simulation.World, req: simulation.Request) -> None:
+def _disconnect(world: simulation.World, req: simulation.Request) -> None:
     if req.answer is None and req.gone_at is None:
         world.callers.leave(req)
 
 
-def _judged(seed: int, world: simulation.World, schedule: Schedule) -> Played:
+def _result(seed: int, world: simulation.World, schedule: Schedule) -> ScheduleResult:
     found = simulation.faults(world)
     found += _after_leaving(world, schedule)
     found += _unanswered(world)
@@ -233,7 +233,7 @@
     last_at = requests[-1].at
     last = [one for one in requests if one.at > last_at - 2.0]
     last = [one for one in last if one.gone_at is None]
-    return Played(
+    return ScheduleResult(
         seed=seed,
         faults=found,
         requests=len(requests),
@@ -253,7 +253,7 @@
         f"DRAIN {one.request_id} reaches {one.target_id} at {one.at:.3f}"
         for one in world.targets.runs
         if one.target_id in schedule.leaving
-        and one.at > schedule.leaving[one.target_id] + DRAIN_S
+        and one.at > schedule.leaving[one.target_id] + DRAIN_TIMEOUT_S
     ]
 
 
--- a/tests/mesh/test_faults.py
+++ b/tests/mesh/test_faults.py
@@ -9,7 +9,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 25))
 def test_a_random_schedule_of_faults_breaks_no_rule(seed):
-    played = faults.play(seed)
-    assert played.faults == [], played.schedule
-    assert played.recovered > 0.95
-    assert played.served > 0.5 * played.requests
+    result = faults.run_schedule(seed)
+    assert result.faults == [], result.schedule
+    assert result.recovered > 0.95
+    assert result.served > 0.5 * result.requests
--- a/tests/net/test_api_client.py
+++ b/tests/net/test_api_client.py
@@ -115,5 +115,5 @@
     unacked_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
     assert 0 < unacked_ms <= 3000
     # A target may leave a long body unread for as long as it likes.
-    sock = request(bytes(target_client.WHOLE + 1))
+    sock = request(bytes(target_client.MAX_WHOLE_BODY_BYTES + 1))
     assert not sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
--- a/tests/net/test_deflate.py
+++ b/tests/net/test_deflate.py
@@ -43,7 +43,7 @@
 def test_frames_come_out_as_they_went_in():
     sender, receiver = deflate.Deflater(), deflate.Inflater()
     frames = [small_call(n) for n in range(50)]
-    frames += [b"", os.urandom(deflate.LARGEST), b"x" * deflate.LARGEST]
+    frames += [b"", os.urandom(deflate.MAX_FRAME_BYTES), b"x" * deflate.MAX_FRAME_BYTES]
     for frame in frames:
         assert receiver.unpack(sender.pack(frame)) == frame
 
@@ -61,6 +61,6 @@
 
 
 def test_a_frame_that_grows_beyond_the_longest_is_refused():
-    packed = deflate.Deflater().pack(b"x" * (deflate.LARGEST + 100))
+    packed = deflate.Deflater().pack(b"x" * (deflate.MAX_FRAME_BYTES + 100))
     with pytest.raises(ValueError, match="too long"):
         deflate.Inflater().unpack(packed)
