--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -1,7 +1,7 @@
-"""The core of one daemon: an event and a time in, the effects that follow out.
+"""The sans-I/O core of a daemon: takes events with a timestamp and returns effects.
 
-Hands each event, timer and message to the part that it is for, and owns those parts;
-what they decide is theirs. Relies on its driver for the time and to carry out effects.
+Owns the components of the daemon and dispatches each event, timer and message to one of
+them. The driver supplies the time and carries out the effects.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 from ferrydeck.mesh.teams import access, policy_freshness, quota, quota_exchange
 
 MAX_DISCOVERY_S = 0.7
-"""How long a daemon that starts looks for other daemons before it reports itself
-ready, seconds: seven dials of a box in its own data centre."""
+"""Longest time that a starting daemon waits for links to all others before it reports
+ready, seconds."""
 
 
 @attrs.define(kw_only=True)
 class Core:
-    """All decisions of one daemon; it reads no clock and does no input or output."""
+    """Decision logic of one daemon; reads no clock and performs no I/O."""
 
     identity: context.Identity
     rng: random.Random
@@ -130,7 +130,7 @@
         )
 
     def start(self, now: float) -> list[effects.Effect]:
-        """Return the effects of the start."""
+        """Start the components; return the resulting effects."""
         self._started = now
         self.quota_exchange.quota_enforcer.started_at = now
         self.inbound.target.start(now)
@@ -141,25 +141,25 @@
         return self._take_effects(now)
 
     def add_seeds(self, now: float, seeds: tuple[str, ...]) -> None:
-        """Add the daemons that the settings name, by address."""
+        """Add the daemons at the addresses that the settings list as seeds."""
         for seed in seeds:
             self.peers.add_address(now, seed)
 
     def handle(self, now: float, event: events.Event) -> list[effects.Effect]:
-        """Return the effects of an event and of all timers that are due."""
+        """Process an event and all due timers; return the resulting effects."""
         self._on_event(now, event)
         return self._take_effects(now)
 
     def next_wake(self) -> float | None:
-        """Return the time of the next timer, or `None`."""
+        """Return the time of the next timer, or `None` if there is none."""
         return self.ctx.next_wake()
 
     def ready(self, now: float) -> bool:
-        """Return whether callers of this box may send requests here."""
+        """Return whether this daemon is ready for requests from callers."""
         if self.ctx.policy is None or self.ctx.stopping:
             return False
         if self.ctx.policy.teams and not self.policy_freshness.is_fresh(now):
-            # A daemon that knows whether keys still count serves callers better.
+            # Without a fresh policy, requests with API keys would be rejected here.
             return False
         if now - self._started >= MAX_DISCOVERY_S:
             return True
@@ -250,10 +250,9 @@
                 self.outbound.link_down(now, peer)
 
     def _update_target_count(self, now: float) -> None:
-        """Have the retry budget know among how many targets the slack is divided.
+        """Update the number of targets that share the slack of the retry budget.
 
-        Others may be unknown until the records were read, and the daemons that start
-        together have found each other.
+        Until the records are read and discovery has ended, the number may be too low.
         """
         if not self.registry.records_read or now - self._started < MAX_DISCOVERY_S:
             return
@@ -270,7 +269,7 @@
     def _on_outgoing_message(
         self, now: float, address: str, message: messages.AnyMessage
     ) -> None:
-        """Act on a message of a daemon that this one dialled."""
+        """Process a message that arrived on an outgoing link."""
         peer = self.peers.message_received(now, address)
         if peer is None:
             return
@@ -315,7 +314,7 @@
     def _on_incoming_message(
         self, now: float, link: int, message: messages.AnyMessage
     ) -> None:
-        """Act on a message of a daemon that dialled this one."""
+        """Process a message that arrived on an incoming link."""
         if isinstance(message, messages.Hello):
             self._hello_received(now, link, message)
             return
@@ -377,7 +376,7 @@
         req: inbound_request.InboundRequest,
         message: messages.AnyMessage,
     ) -> None:
-        """Send a message of the inbound side to where its request began."""
+        """Send a reply of the inbound side to where the request came from."""
         if req.link != inbound.LOCAL_LINK:
             self.incoming_links.send(req.link, message)
             return
@@ -392,9 +391,9 @@
                 self.outbound.attempt_broken(now, None, message)
 
     def _broadcast_state(self, now: float) -> None:
-        """Send the target state of this box to all linked daemons."""
+        """Broadcast the target state of this box to all linked daemons."""
         self.policies.broadcast_state(now)
 
     def _broadcast_suspects(self, reports: list[messages.SuspectReport]) -> None:
-        """Send what was learned of requests under which targets crashed."""
+        """Broadcast reports of requests suspected of crashing targets."""
         self.incoming_links.broadcast(messages.SuspectReports(suspects=reports))
--- a/ferrydeck/mesh/effects.py
+++ b/ferrydeck/mesh/effects.py
@@ -1,6 +1,6 @@
-"""The effects that the core of a daemon asks its driver to carry out, in order.
+"""Effects: the actions that the core of a daemon requests from its driver, in order.
 
-Owns nothing; the numbers are those of the events.
+Connection, link and dispatch numbers are the same as in `events`.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Reply:
-    """Answer a caller with a target's answer, or the head and first part of it."""
+    """Send a caller the answer of a target: whole, or head and first part."""
 
     conn: int
     status: int
     fields: messages.Fields
     body: bytes
     more: bool
-    """Whether parts follow."""
+    """Whether a `ReplyPart` follows."""
     total: int
-    """Length of the body, bytes; -1 where it isn't known."""
+    """Length of the whole body, bytes; -1 if unknown."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ReplyPart:
-    """Pass a further part of a long answer on."""
+    """Send a caller a further part of a streamed answer."""
 
     conn: int
     data: bytes
@@ -35,53 +35,53 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class AbortReply:
-    """End a caller's connection in the middle of an answer."""
+    """Reset a caller's connection in the middle of an answer."""
 
     conn: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Reject:
-    """Answer a caller in ferrydeck's own name."""
+    """Answer a caller without the answer of a target."""
 
     conn: int
     status: int
     reason: str
     retry_after_s: float | None = None
-    """When to come back, seconds; with a promise that the request did not run."""
+    """Retry-After delay, seconds; if set, the request is known not to have run."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Dial:
-    """Make a link to a daemon."""
+    """Open an outgoing link to a daemon."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class DeflateOutgoing:
-    """Compress what is sent on the link to a daemon."""
+    """Enable compression of what is sent on an outgoing link."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class DeflateIncoming:
-    """Compress what is sent on a link that another daemon dialled."""
+    """Enable compression of what is sent on an incoming link."""
 
     link: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class CloseLink:
-    """Close the link to a daemon."""
+    """Close an outgoing link."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class SendOutgoing:
-    """Send a message on a link that was dialled from here."""
+    """Send a message on an outgoing link."""
 
     address: str
     message: messages.AnyMessage
@@ -89,7 +89,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class SendIncoming:
-    """Send a message on a link that another daemon dialled."""
+    """Send a message on an incoming link."""
 
     link: int
     message: messages.AnyMessage
@@ -97,7 +97,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Dispatch:
-    """Send a request to the target of this box."""
+    """Forward a request to the target of this box."""
 
     dispatch: int
     method: str
@@ -108,21 +108,21 @@
     target_id: str
     caller: str
     left_s: float
-    """Time that the target is given, seconds."""
+    """Time that the target has to answer, seconds."""
     team: str = ""
-    """The team whose request it is; empty for none."""
+    """Team that the request belongs to; empty if none."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class CancelDispatch:
-    """Close the connection on which the target runs a request."""
+    """Cancel a request at the target by closing its connection."""
 
     dispatch: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ReadAnswer:
-    """Read further bytes of a long answer from the target."""
+    """Read further bytes of a streamed answer from the target."""
 
     dispatch: int
     size: int
@@ -130,14 +130,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Probe:
-    """Check the health of the target, and which incarnation it is."""
+    """Send the target a health check, which also reveals its incarnation."""
 
     path: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class AckHeartbeat:
-    """Acknowledge a target's heartbeat, or reject it."""
+    """Acknowledge or reject a target's heartbeat."""
 
     conn: int
     accepted: bool
@@ -152,7 +152,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ReadPolicy:
-    """Read a policy that another daemon sent, and return it as an event."""
+    """Parse a policy from another daemon; `PolicyRead` follows if it is valid."""
 
     raw: bytes
     source: str
@@ -160,7 +160,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class SetCallerLimits:
-    """Apply changed limits on what callers may send (`policy.CallerLimits`)."""
+    """Apply changed limits on callers (`policy.CallerLimits`)."""
 
     head_bytes: int
     body_bytes: int
@@ -170,20 +170,20 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Decision:
-    """A decision, for logs and counters."""
+    """Log and count a decision."""
 
     kind: str
     request_id: str = ""
-    """Empty where it is about no request."""
+    """Empty if it concerns no request."""
     outcome: str = ""
     reason: str = ""
     inputs: dict[str, object] = attrs.Factory(dict)
-    """What it was decided on, for the log."""
+    """Inputs of the decision, for the log."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class RequestFinished:
-    """Count a request that has its final answer, and its time."""
+    """Record outcome and latency of a finished request."""
 
     route: str
     outcome: str
@@ -192,12 +192,12 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class StopAccepting:
-    """Accept no new connection of callers; ask those there to close theirs."""
+    """Disable keep-alive for callers, so that they reconnect elsewhere."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Exit:
-    """End the process."""
+    """Exit the process."""
 
 
 Effect = (
--- a/ferrydeck/mesh/events.py
+++ b/ferrydeck/mesh/events.py
@@ -1,6 +1,6 @@
-"""The events that a driver feeds to the core of a daemon.
+"""Events that the driver feeds to the core of a daemon.
 
-Owns nothing. The driver numbers connections and links, the core numbers dispatches.
+The driver numbers connections and links; the core numbers dispatches.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class RequestReceived:
-    """A whole request came in from a client or from the target of this box."""
+    """A complete request arrived from a client or from the target of this box."""
 
     conn: int
     method: str
@@ -20,26 +20,26 @@
     host: str
     request_id: str
     deadline_s: float | None
-    """How long the caller waits, seconds; `None` where it did not state it."""
+    """Timeout stated by the caller, seconds; `None` if it stated none."""
     fields: messages.Fields
-    """Header fields to be passed on."""
+    """Header fields to forward."""
     body: bytes
     run_id: str = ""
-    """The id of the run that may make it, by its own id; empty for none."""
+    """Id of the run that made the call, by its request id; empty if none."""
     key: str = attrs.field(default="", repr=False)
-    """The key that shows its team, empty for none; never logged, never passed on."""
+    """API key of its team, empty if none; neither logged nor forwarded."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class CallerDisconnected:
-    """A caller closed its connection before its answer was out."""
+    """A caller closed its connection before it had its answer."""
 
     conn: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class CallerRead:
-    """A caller has read `size` bytes of a long answer."""
+    """`size` bytes of a streamed answer were sent to a caller."""
 
     conn: int
     size: int
@@ -47,23 +47,23 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class OutgoingLinkUp:
-    """A link that was dialled is up."""
+    """An outgoing link is up."""
 
     address: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class OutgoingLinkDown:
-    """A link that was dialled ended, or could not be made."""
+    """An outgoing link was lost, or could not be opened."""
 
     address: str
     was_up: bool
-    """Whether it had been up."""
+    """Whether the link had been up."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class OutgoingLinkMessage:
-    """A message on a link that was dialled from here."""
+    """A message arrived on an outgoing link."""
 
     address: str
     message: messages.AnyMessage
@@ -71,7 +71,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class IncomingLinkMessage:
-    """A message on a link that another daemon dialled."""
+    """A message arrived on an incoming link."""
 
     link: int
     message: messages.AnyMessage
@@ -79,41 +79,41 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class IncomingLinkDown:
-    """A link that another daemon dialled ended."""
+    """An incoming link was closed."""
 
     link: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetAnswered:
-    """The head of the target's answer, with all of its body or the first part."""
+    """The target sent the head of its answer and all or the first part of the body."""
 
     dispatch: int
     status: int
     fields: messages.Fields
     body: bytes
     more: bool
-    """Whether parts follow."""
+    """Whether a `TargetAnswerPart` follows."""
     total: int
-    """Length of the body, bytes; -1 where it isn't known."""
+    """Length of the whole body, bytes; -1 if unknown."""
     facts: AnswerFacts
 
 
 @attrs.define(kw_only=True, frozen=True)
 class AnswerFacts:
-    """What the header fields of an answer state to the inbound side."""
+    """Facts that the header fields of an answer carry for the inbound side."""
 
     not_run: bool = False
-    """The target states that it did not run the request."""
+    """Whether the target states that it did not run the request."""
     confirmed_complete: bool = False
-    """The answer carries the target's confirmation that it is whole."""
+    """Whether the target confirms that the answer is complete."""
     target_id: str = ""
     load: TargetLoad | None = None
 
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetLoad:
-    """Load as a target states it, in requests."""
+    """Load as reported by a target, in requests."""
 
     running: int
     waiting: int
@@ -122,7 +122,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetAnswerPart:
-    """A further part of a long answer."""
+    """A further part of a streamed answer."""
 
     dispatch: int
     data: bytes
@@ -131,34 +131,34 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetFailed:
-    """No whole answer of the target will come."""
+    """The target will not deliver a complete answer."""
 
     dispatch: int
     sent: bool
-    """Whether any byte of the request may have reached it."""
+    """Whether any byte of the request may have reached the target."""
     refused: bool
-    """Whether it took no connection at all."""
+    """Whether the target refused the connection."""
     detail: str
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ProbeAnswered:
-    """The health check of the target was answered, or failed."""
+    """A health check of the target was answered or failed."""
 
     healthy: bool
-    """Whether the answer states good health."""
+    """Whether the answer reports the target as healthy."""
     target_id: str
     slots: int
     refused: bool = False
-    """Whether the target took no connection at all."""
+    """Whether the target refused the connection."""
     answered: bool = True
-    """Whether there was an answer; a connection that was lost on the way, as one that
-    was idle may be, shows nothing of the target."""
+    """Whether there was an answer; a lost connection says nothing about the health of
+    the target."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Heartbeat:
-    """A target reports its state."""
+    """Periodic state report of a target."""
 
     conn: int
     target_id: str
@@ -166,34 +166,34 @@
     address: str
     slots: int
     sequence: int
-    """Grows with each heartbeat of an incarnation."""
+    """Increases with each heartbeat of an incarnation."""
     ready: bool
     terminating: bool
-    """Whether it leaves for good."""
+    """Whether the target deregisters for good."""
     warmup_s: float
-    """How long it will still be slow after its start, seconds."""
+    """Remaining warm-up time, seconds."""
     started_ms: int = incarnations.UNKNOWN
-    """When its incarnation began, milliseconds since 1970."""
+    """Start of its incarnation, milliseconds since 1970."""
 
     @property
     def incarnation(self) -> str:
-        """The name of its incarnation."""
+        """Name of its incarnation."""
         return incarnations.name(self.target_id, self.started_ms)
 
 
 @attrs.define(kw_only=True, frozen=True)
 class StoreAnswered:
-    """The store answered a request, or did not."""
+    """A request to the store was answered or failed."""
 
     request: store.Request
     result: store.Result
     era: int = 0
-    """The store's era by the answer; 0 where none is stated."""
+    """Era that the store stated in the answer; 0 if none."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class PolicyRead:
-    """A policy that another daemon sent was read."""
+    """A policy from another daemon was parsed."""
 
     policy: policy.Policy
     source: str
@@ -201,7 +201,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class StopRequested:
-    """The process is to end."""
+    """The process was asked to shut down."""
 
 
 @attrs.define(kw_only=True, frozen=True)
--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -60,7 +60,7 @@
             total=event.total,
             load=self.load(now),
             demand=self.shedder.costs.demand_pct(service, route),
-            called=self.callers.called_by_targets(route),
+            called_by_targets=self.callers.called_by_targets(route),
         )
         self.send(now, req, answer)
 
@@ -99,7 +99,7 @@
             rejected_by_target=rejected_by_target,
             retry_granted=retry_granted,
             load=self.load(now),
-            called=self.callers.called_by_targets(req.forward.route),
+            called_by_targets=self.callers.called_by_targets(req.forward.route),
         )
         self.send(now, req, rejected)
 
--- a/ferrydeck/mesh/inbound/retry_exchange.py
+++ b/ferrydeck/mesh/inbound/retry_exchange.py
@@ -46,5 +46,5 @@
 
     def _accepts_counts(self, peer: peers.Peer) -> bool:
         linked = peer.link is peers.LinkState.UP
-        known = peer.protocol_version >= messages.RETRY_PROTOCOL
+        known = peer.protocol_version >= messages.MIN_RETRY_PROTOCOL
         return linked and known and peer.service == self.ctx.identity.service
--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -152,7 +152,7 @@
         peer.link = peers.LinkState.HANDSHAKE
         identity = self.ctx.identity
         hello = messages.Hello(
-            protocol=messages.PROTOCOL,
+            protocol=messages.PROTOCOL_VERSION,
             box=identity.box,
             incarnation=identity.incarnation,
             address=identity.address,
--- a/ferrydeck/mesh/messages.py
+++ b/ferrydeck/mesh/messages.py
@@ -1,8 +1,8 @@
-"""The messages between daemons on a link.
+"""Wire messages between daemons, encoded with MessagePack.
 
-They are arrays, since bytes between data centres are priced: the order of fields and
-their types are the protocol, their names are not. A `Reason` and a `Phase` keep their
-strings. Owns the encoding; relies on `price_reports` and `quota_reports` for types.
+Messages are encoded as arrays to save traffic between data centres: the order and types
+of the fields are part of the protocol, their names are not. The string values of
+`Reason` and `Phase` are sent as they are.
 """
 
 from __future__ import annotations
@@ -14,40 +14,40 @@
 from ferrydeck.mesh.inbound import price_reports
 from ferrydeck.mesh.teams import quota_reports
 
-PROTOCOL = 7
-"""Version of the protocol, which `Hello` states."""
-RETRY_PROTOCOL = 7
-"""The first version whose daemons take `RetryCounts` and `Retry.REJECTED`."""
+PROTOCOL_VERSION = 7
+"""Protocol version that `Hello` announces."""
+MIN_RETRY_PROTOCOL = 7
+"""The first protocol version that supports `RetryCounts` and `Retry.REJECTED`."""
 Fields = list[tuple[str, str]]
-"""Header fields in the order in which they came."""
+"""Header fields in the order received."""
 
 
 class Reason(enum.StrEnum):
-    """Why a request was not run, or why it is not known whether it has."""
+    """Why a request was not run, or why it is unknown whether it ran."""
 
     NO_POLICY = "no-policy"
     NO_ROUTE = "no-route"
     NO_KEY = "no-key"
-    """The route wants a key, and the request has none."""
+    """The route requires an API key and the request has none."""
     UNKNOWN_KEY = "unknown-key"
-    """No team holds the request's key."""
+    """The API key of the request belongs to no team."""
     STALE_POLICY = "stale-policy"
-    """Keys may have been taken away without this daemon's knowledge."""
+    """The policy here may be outdated, so the key may have been revoked."""
     QUOTA = "allotment"
-    """The request's team is beyond its quota."""
+    """The team of the request has exceeded its quota."""
     STOPPING = "stopping"
     NO_TARGET = "no-server"
     CLOSED = "closed"
-    """The inbound side takes no new requests: its daemon or its target is leaving."""
+    """The inbound side is closed: its daemon or its target is shutting down."""
     WRONG_INCARNATION = "instance"
-    """Another incarnation of the target answers there."""
+    """Another incarnation of the target is now at that address."""
     OVERLOAD = "overload"
     SHED = "pressure"
-    """Too many runs of the route fail behind the target."""
+    """Too many requests of the route fail at services that the target calls."""
     EXPIRED = "expired"
     CANCELLED = "cancelled"
     TARGET_REJECTED = "server-refused"
-    """The target answered that it did not run the request."""
+    """The target replied that it did not run the request."""
     NOT_SENT = "not-sent"
     LINK_LOST = "link-lost"
     TARGET_LOST = "server-lost"
@@ -55,15 +55,15 @@
     BAD_ANSWER = "bad-answer"
     TIMEOUT = "timeout"
     RETRY_BUDGET = "budget"
-    """It may have run, and the retry budget grants no further run."""
+    """The request may have run, and the retry budget is exhausted."""
     SUSPECT = "suspect"
-    """It ran on a target as it crashed, and its isolated run did not begin in time."""
+    """A target crashed while running it; its isolated retry did not start in time."""
     BLOCKED = "condemned"
-    """Targets crashed under it as often as was agreed: it is run no more."""
+    """It has crashed as many targets as allowed and is not run again."""
 
 
 class Phase(enum.StrEnum):
-    """Whether the target of a box takes requests, as its daemon announces it."""
+    """Lifecycle phase of a target, as announced by the daemon of its box."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -74,70 +74,70 @@
 
 
 class Retry(enum.IntEnum):
-    """Whether a request that arrives at a target counts against the retry bound."""
+    """How a request that arrives at a target counts against the retry budget."""
 
     NO = 0
     CALL = 1
-    """It is a call of a run that is a retry."""
+    """A call made by a run that is itself a retry."""
     MAY_HAVE_RUN = 2
-    """It may have run before: the inbound side decides whether it may run again."""
+    """It may have run before; the inbound side decides whether to run it again."""
     REJECTED = 3
-    """A target has rejected it before. Its arrival was granted there; the calls of its
-    run are retries."""
+    """A target rejected it before and the budget granted this attempt; calls made by
+    its run are retries."""
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """What all messages have in common."""
+    """Base class of all messages."""
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """The load of a target, as the daemon of its box measures it."""
+    """Load of a target, as measured by the daemon of its box."""
 
     busy: int
-    """Requests at the target and waiting for it."""
+    """Requests in flight at the target plus those queued for it."""
     service_time_ms: int
-    """Service time, running mean; 0 while not known."""
+    """Moving average of the service time; 0 if unknown."""
     failed_pct: int
-    """Recent share of requests that it failed or rejected, 0 to 100."""
+    """Recent percentage of requests that it failed or rejected."""
     prices: list[price_reports.PriceReport]
-    """Prices of services that the sender knows; empty while nothing is short."""
+    """Prices of services known to the sender; empty while no capacity is scarce."""
 
 
 class TargetState(Message, tag=1):
-    """The target of a box, as its daemon announces it."""
+    """State of a target, as announced by the daemon of its box."""
 
     phase: str
     incarnation: str
-    """The incarnation of the target (`incarnations`)."""
+    """Incarnation of the target (`incarnations`)."""
     service: str
     slots: int
-    """Requests that it runs at a time."""
+    """Number of requests that it runs concurrently."""
     warmup_s: float
-    """How long the target will still be slow after its start, seconds."""
+    """Remaining warm-up time of the target, seconds."""
     version: int
-    """Version of the policy in force there; 0 for none."""
+    """Version of the active policy at the sender; 0 if none."""
 
 
 class Hello(Message, tag=2):
-    """The first message on a link, from the daemon that dialled."""
+    """The first message on a link, sent by the daemon that opened it."""
 
     protocol: int
     box: str
     incarnation: int
-    """Of the sending daemon; grows with each start."""
+    """Incarnation of the sending daemon; increases with each start."""
     address: str
-    """Where the sender takes links."""
+    """Address at which the sender accepts links."""
     data_centre: str
     version: int
-    """Version of the policy in force at the sender; 0 for none."""
+    """Version of the active policy at the sender; 0 if none."""
     sent_s: float
-    """When it was sent, by the sender's clock, seconds."""
+    """Send time on the sender's clock, seconds."""
     departed_incarnations: list[str]
     """Incarnations of the receiver's target that the sender knows to have left."""
 
 
 class Welcome(Message, tag=3):
-    """The answer to a `Hello`."""
+    """Reply to a `Hello`."""
 
     box: str
     incarnation: int
@@ -149,132 +149,131 @@
 
 
 class Ping(Message, tag=4):
-    """Asks for a sign of life, and states the version of the policy in force."""
+    """Keepalive probe; carries the version of the active policy."""
 
     version: int
     sent_s: float
 
 
 class Pong(Message, tag=5):
-    """The answer to a `Ping`, with the load of the target."""
+    """Reply to a `Ping`, with the load of the target."""
 
     version: int
     load: Load
 
 
 class ConfirmedPong(Pong, tag=18):
-    """The answer to a `Ping` where keys depend on the age of the policy."""
+    """A `Pong` where API keys are accepted only under a recently confirmed policy."""
 
     asked_s: float
-    """When the `Ping` was sent, by its sender's clock."""
+    """Send time of the `Ping` on the clock of its sender, seconds."""
     confirmation_age_s: float
-    """Age of the confirmation that nothing newer than `version` was accepted,
-    seconds."""
+    """Age of the confirmation that `version` is the latest policy, seconds."""
 
 
 class PolicyRequest(Message, tag=6):
-    """Asks for the policy in force at the other side."""
+    """Requests the active policy of the receiver."""
 
 
 class PolicyReply(Message, tag=7):
-    """The policy in force, as the store holds it."""
+    """The active policy, in the encoding of the store."""
 
     version: int
     raw: bytes
 
 
 class Forward(Message, tag=8):
-    """A request for the target of the receiver's box."""
+    """A request for the target on the receiver's box."""
 
     number: int
-    """Of this attempt; each message about it states it."""
+    """Number of the attempt, repeated in all messages about it."""
     request_id: str
-    """The id that the caller gave."""
+    """Request id from the caller."""
     incarnation: str
-    """The incarnation of the target that it is meant for (`incarnations`)."""
+    """Incarnation of the target that it is addressed to (`incarnations`)."""
     service: str
-    """The service that the target is to belong to."""
+    """Service that the target must belong to."""
     caller: str
-    """The service on whose box the request began."""
+    """Service of the box at which the request entered."""
     method: str
     path: str
     fields: Fields
     body: bytes
     sent_s: float
-    """When it was sent, by the sender's clock, seconds."""
+    """Send time on the sender's clock, seconds."""
     left_s: float
-    """Time left when this was sent, seconds."""
+    """Time left until the deadline at `sent_s`, seconds."""
     wait_s: float
-    """How long its answer is of use, seconds; it waits no longer for a slot than
-    leaves time for its run."""
+    """Time in which its answer is still useful, seconds; bounds the queueing time,
+    less the expected service time."""
     objective_s: float
-    """Time left until its answer is late, seconds."""
+    """Time left until the latency objective of the route is missed, seconds."""
     route: str
     priority: int
-    """Place in the order of shedding; 0 is shed last."""
+    """Shedding priority; 0 is shed last."""
     is_first_call: bool
-    """Whether it is the first call of a run: nothing is lost yet if it fails."""
+    """Whether it is the first call of a run, so that a failure wastes no work yet."""
     sheddable: bool
-    """Whether it is a caller's own request of the priority that is shed first."""
+    """Whether it is a request from outside with the priority that is shed first."""
     retryable: bool
     """Whether it may run more than once."""
     caller_retry: bool
-    """Whether its caller was rejected before and came back later."""
+    """Whether the caller retries it after a rejection."""
     first_attempt: bool
-    """Whether it was sent to no daemon before."""
+    """Whether this is the first attempt to send it to a daemon."""
     retry: Retry
 
     @property
     def team_name(self) -> str:
-        """The team whose request it is; empty for none."""
+        """Team that the request belongs to; empty if none."""
         return ""
 
 
 class TeamForward(Forward, tag=17, kw_only=True):
-    """A request of a team for the target of the receiver's box."""
+    """A `Forward` of a request that belongs to a team."""
 
     team: str
 
     @property
     def team_name(self) -> str:
-        """The team whose request it is."""
+        """Team that the request belongs to."""
         return self.team
 
 
 class Cancel(Message, tag=9):
-    """The caller does not wait for a request any more."""
+    """Cancels an attempt whose caller no longer waits for it."""
 
     number: int
 
 
 class Credit(Message, tag=10):
-    """Asks for further bytes of a long answer."""
+    """Grants flow-control credit, in bytes, for a streamed answer."""
 
     number: int
     size: int
 
 
 class Answer(Message, tag=11):
-    """The target's answer: all of it, or the head and first part of a long one."""
+    """The answer of the target: whole, or head and first part of a streamed one."""
 
     number: int
     status: int
     fields: Fields
     body: bytes
     more: bool
-    """Whether parts follow."""
+    """Whether an `AnswerPart` follows."""
     total: int
-    """Length of the body, bytes; -1 where the target did not state it."""
+    """Length of the whole body, bytes; -1 if unknown."""
     load: Load
     demand: list[tuple[str, int]]
-    """What a run of the route uses of each service, its own included (`pricing`), in
-    hundredths of a mean run there."""
-    called: bool
-    """Whether targets send requests of this route (`correlation`)."""
+    """Capacity that a run of the route uses per service, its own included (`pricing`),
+    in percent of a mean run there."""
+    called_by_targets: bool
+    """Whether requests of this route also come from targets (`correlation`)."""
 
 
 class AnswerPart(Message, tag=12):
-    """A further part of a long answer."""
+    """A further part of a streamed answer."""
 
     number: int
     data: bytes
@@ -282,7 +281,7 @@
 
 
 class Broken(Message, tag=13):
-    """No whole answer will come; the request may have run."""
+    """The answer will not be completed; the request may have run."""
 
     number: int
     reason: str
@@ -290,23 +289,23 @@
 
 
 class Rejected(Message, tag=14):
-    """The request was not run here and will not be."""
+    """The attempt was rejected; the request has not run here."""
 
     number: int
     reason: str
     retry_after_s: float
-    """When the caller may come back, seconds."""
+    """Delay after which the caller may retry, seconds."""
     rejected_by_target: bool
-    """Whether the target itself was asked and rejected it."""
+    """Whether the target itself rejected it, not the daemon."""
     retry_granted: bool
-    """Whether a target may be asked again (`retry_budget`); only where one was."""
+    """Whether the retry budget allows another attempt, if the target rejected it."""
     load: Load
-    called: bool
-    """Whether targets send requests of this route (`correlation`)."""
+    called_by_targets: bool
+    """Whether requests of this route also come from targets (`correlation`)."""
 
 
 class HeartbeatRelay(Message, tag=15):
-    """The heartbeat of a target that was sent to a daemon of another box."""
+    """A target's heartbeat that arrived at another box, relayed to its own daemon."""
 
     number: int
     target_id: str
@@ -318,53 +317,52 @@
     terminating: bool
     warmup_s: float
     started_ms: int
-    """When its incarnation began, milliseconds since 1970; 0 if not stated."""
+    """Start of its incarnation, milliseconds since 1970; 0 if unknown."""
 
 
 class HeartbeatAck(Message, tag=16):
-    """The daemon of the target's box has acted on a `HeartbeatRelay`."""
+    """Reply to a `HeartbeatRelay` from the daemon of the target's box."""
 
     number: int
     accepted: bool
 
 
 class TeamUsages(Message, tag=19):
-    """The usage of teams that the receiver coordinates."""
+    """Usage of the teams whose quota the receiver coordinates."""
 
     usages: list[quota_reports.TeamUsage]
 
 
 class TeamGrants(Message, tag=20):
-    """The grants of teams that the sender coordinates."""
+    """Grants for the teams whose quota the sender coordinates."""
 
     grants: list[quota_reports.TeamGrant]
 
 
 class SuspectReport(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A request that ran on targets as they crashed."""
+    """A request during which targets crashed."""
 
     fingerprint: bytes
     crashes: list[int]
-    """Numbers of the crashes, drawn at random by the daemons that saw them."""
+    """Random ids of the crashes, assigned by the daemons that observed them."""
     cleared: list[int]
-    """Those of them for which a later success clears the request."""
+    """Ids of crashes that a later success of the request has cleared it of."""
     isolated: list[int]
-    """Those of them that came in an isolated run of it."""
+    """Ids of crashes that occurred while it ran in isolation."""
     age_s: float
     """Time since the last crash, seconds."""
 
 
 class SuspectReports(Message, tag=21):
-    """What the sender knows of requests under which targets crashed."""
+    """Requests that the sender suspects of crashing targets."""
 
     suspects: list[SuspectReport]
 
 
 class RetryCounts(Message, tag=22):
-    """Requests and retries at the sender's target, by steps of half a second.
+    """Requests and retries at the sender's target, per half-second bucket.
 
-    The newest whole step comes first; the lists go back no further than the sender's
-    start.
+    The latest complete bucket comes first; the lists start no earlier than the sender.
     """
 
     requests: list[int]
@@ -401,10 +399,10 @@
 
 
 def encode(message: AnyMessage) -> bytes:
-    """Return the bytes of a message."""
+    """Return the encoded message."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> AnyMessage:
-    """Return the message in `data`; raises `msgspec.DecodeError`."""
+    """Return the decoded message; raises `msgspec.DecodeError`."""
     return _decoder.decode(data)
--- a/ferrydeck/mesh/outbound/attempts.py
+++ b/ferrydeck/mesh/outbound/attempts.py
@@ -121,7 +121,7 @@
 
 def _supports_rejected(peer: peers.Peer | None) -> bool:
     """Return whether a peer, `None` for this box, supports `Retry.REJECTED`."""
-    return peer is None or peer.protocol_version >= messages.RETRY_PROTOCOL
+    return peer is None or peer.protocol_version >= messages.MIN_RETRY_PROTOCOL
 
 
 def _new_forward(team: str, **values: object) -> messages.Forward:
--- a/ferrydeck/mesh/outbound/reports.py
+++ b/ferrydeck/mesh/outbound/reports.py
@@ -32,7 +32,9 @@
             self.prices_received(now, peer, message.load)
         if isinstance(message, messages.Broken):
             return
-        self.inbound.correlator.set_called(req.route.name, called=message.called)
+        self.inbound.correlator.set_called(
+            req.route.name, called=message.called_by_targets
+        )
         if isinstance(message, messages.Answer):
             costs = self.inbound.costs
             costs.set_demand(req.route.name, message.demand, sheddable=req.sheddable)
--- a/tests/mesh/test_calls_of_retries.py
+++ b/tests/mesh/test_calls_of_retries.py
@@ -130,7 +130,7 @@
     world = chain_of(1, levels=2)
     for box in world.boxes.values():
         for peer in box.core.peers.by_address.values():
-            peer.protocol_version = messages.RETRY_PROTOCOL - 1
+            peer.protocol_version = messages.MIN_RETRY_PROTOCOL - 1
     make_targets_shed(world, "desk")
     sent = []
     encode = messages.encode
--- a/tests/mesh/test_retry_exchange.py
+++ b/tests/mesh/test_retry_exchange.py
@@ -43,7 +43,7 @@
     world, sent = shedding_world(monkeypatch)
     for box in world.boxes.values():
         for peer in box.core.peers.by_address.values():
-            peer.protocol_version = messages.RETRY_PROTOCOL - 1
+            peer.protocol_version = messages.MIN_RETRY_PROTOCOL - 1
     samples.load(world, "box-0", 300)
     assert sent["RetryCounts"] == 0
 
