--- a/ferrydeck/commands/files.py
+++ b/ferrydeck/commands/files.py
@@ -41,7 +41,7 @@
     """
     raw = read_bytes(path)
     if not raw.lstrip().startswith(b"{"):
-        body = bundles.canonical(read_bundle(path)).decode()
+        body = bundles.canonical_body(read_bundle(path)).decode()
         return signing.SignedBundle(body=body)
     signed = signing.decode(raw, path)
     if isinstance(signed, findings.Rejected):
--- a/ferrydeck/config/options.py
+++ b/ferrydeck/config/options.py
@@ -195,7 +195,7 @@
 def read_file(
     cls: type[T],
     path: str,
-    check_together: Callable[[T, findings.Report], None] | None = None,
+    check_consistency: Callable[[T, findings.Report], None] | None = None,
 ) -> T | findings.Rejected:
     """Read a TOML file into `cls`; `check_together` adds findings between keys."""
     report = findings.Report(file=path)
@@ -204,19 +204,19 @@
     except (OSError, ValueError) as exc:
         report.add("(file)", str(exc))
         return findings.Rejected(findings=tuple(report.findings))
-    return read_table(cls, table, report, check_together)
+    return read_table(cls, table, report, check_consistency)
 
 
 def read_table(
     cls: type[T],
     table: Mapping[str, Any],
     report: findings.Report,
-    check_together: Callable[[T, findings.Report], None] | None = None,
+    check_consistency: Callable[[T, findings.Report], None] | None = None,
 ) -> T | findings.Rejected:
     """Read a table into `cls`, or return all that is wrong with it."""
     made = read(cls, table, report)
-    if made is not None and report.clean and check_together is not None:
-        check_together(made, report)
+    if made is not None and report.clean and check_consistency is not None:
+        check_consistency(made, report)
     if made is None or not report.clean:
         return findings.Rejected(findings=tuple(report.findings))
     return made
--- a/ferrydeck/mesh/net/driver.py
+++ b/ferrydeck/mesh/net/driver.py
@@ -26,7 +26,7 @@
     """One daemon's loop: feeds events to a `core.Core`, carries out its effects."""
 
     channel = "driver"
-    settle_gc_s = 2.0
+    gc_freeze_delay_s = 2.0
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._reload_due = False
         self._sweep_at = 0.0
         self._open(poller)
-        poller.between = self.run_due_work
+        poller.run_due = self.run_due_work
 
     def log_decision(self, kind: str, outcome: str = "", **inputs: object) -> None:
         """Log and count what the driver itself decides."""
@@ -88,7 +88,7 @@
         """Log and count an exception of a handler."""
         self.log_decision("exception", name, detail=repr(value), trace=trace)
 
-    def carry_out(self, effect: effects.Effect) -> None:
+    def execute(self, effect: effects.Effect) -> None:
         """Do what the core asks for."""
         match effect:
             case effects.Decision():
@@ -140,7 +140,7 @@
             case effects.StopAccepting():
                 self.endpoints.requests.stop_keep_alive()
             case effects.Exit():
-                self.end_at = clock.now() + EXIT_FLUSH_S
+                self.exit_at = clock.now() + EXIT_FLUSH_S
 
     def _open(self, poller: poller.Poller) -> None:
         cfg = self.cfg
@@ -211,7 +211,7 @@
         self.target.client.expire(now)
         self.endpoints.sweep(now)
         self.output.flush()
-        self.settle_collector(now)
-        if self.end_at is not None and now >= self.end_at:
+        self.freeze_startup_objects(now)
+        if self.exit_at is not None and now >= self.exit_at:
             self.links.close()
             self.root.stop()
--- a/ferrydeck/mesh/net/endpoints.py
+++ b/ferrydeck/mesh/net/endpoints.py
@@ -72,7 +72,7 @@
     def reject(self, effect: effects.Reject) -> None:
         """Answer a request that has not run, or of which that is not known."""
         request_id = self._request_ids.pop(effect.conn, "")
-        fields = headers.for_rejection(request_id, effect.retry_after_s)
+        fields = headers.rejection_fields(request_id, effect.retry_after_s)
         outcome = "not-run" if effect.retry_after_s is not None else "unknown"
         body = f"{outcome}: {effect.reason}\n".encode()
         self.requests.reply(effect.conn, effect.status, fields, body)
@@ -118,7 +118,7 @@
         policy = self.core.ctx.policy
         teams = policy is not None and bool(policy.teams)
         facts = headers.read_request(request.head.fields, teams=teams)
-        if not facts.request_id or facts.deadline_fault or facts.key_fault:
+        if not facts.request_id or facts.invalid_deadline or facts.multiple_keys:
             self.log_decision(
                 "request", "declined", reason="bad-request", target=request.head.path
             )
@@ -135,7 +135,7 @@
                 deadline_s=facts.deadline_s,
                 fields=facts.fields,
                 body=request.body,
-                run_id=headers.run_of(facts.request_id),
+                run_id=headers.run_id_of(facts.request_id),
                 key=facts.key,
             )
         )
--- a/ferrydeck/mesh/net/ingress.py
+++ b/ferrydeck/mesh/net/ingress.py
@@ -47,8 +47,8 @@
 class Limits:
     """What callers may send, and how long they may take or be idle."""
 
-    head_bytes: int = http.MAX_HEAD
-    body_bytes: int = http.MAX_BODY
+    head_bytes: int = http.MAX_HEAD_BYTES
+    body_bytes: int = http.MAX_BODY_BYTES
     head_s: float = 3.0
     """Time from the first byte of a head, or from the last of a body, seconds."""
     idle_s: float = 15.0
@@ -100,15 +100,15 @@
         self.by_number: dict[int, CallerConn] = {}
         self.buffered = 0
         self.closing = False
-        self.listening = sockets.listener(ip, port)
-        self.poller.serve(self.listening, self.on_read, self.on_write)
+        self.listening = sockets.open_listener(ip, port)
+        self.poller.watch(self.listening, self.on_read, self.on_write)
 
-    def other_readable(self, source: object) -> None:
+    def listener_readable(self, source: object) -> None:
         """Take the connections that wait."""
-        for sock, ip in sockets.accept_all(self.listening):
-            self.adopt(CallerConn(sock=sock, source=ip, since=clock.now()))
+        for sock, ip in sockets.accept_pending(self.listening):
+            self.add_conn(CallerConn(sock=sock, source=ip, since=clock.now()))
 
-    def data_read(self, conn: CallerConn, data: bytes) -> None:
+    def data_received(self, conn: CallerConn, data: bytes) -> None:
         """Read a request, or buffer it while another one is answered."""
         if not conn.number:
             if not conn.inbuf and conn.head is None:
@@ -173,20 +173,20 @@
             return
         self._finish(conn)
         conn.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
-        self.shut(conn)
+        self.close_conn(conn)
 
     def stop_keep_alive(self) -> None:
         """Keep no connection for further requests; close those that are idle."""
         self.closing = True
         for conn in list(self.conns.values()):
             if not conn.number and not conn.inbuf and conn.head is None:
-                self.shut(conn)
+                self.close_conn(conn)
 
     def drained(self, conn: CallerConn) -> None:
         """Ask for more of a long answer once the last part is out."""
         self._report_sent(conn)
 
-    def ended(self, conn: CallerConn) -> None:
+    def connection_lost(self, conn: CallerConn) -> None:
         """Report a caller that went away before its answer was out."""
         self._drop_body(conn)
         number = conn.number
@@ -203,7 +203,7 @@
             if begun and now - conn.since > self.limits.head_s:
                 self._reject(conn, http.Malformed(status=408, detail="too slow"))
             elif not begun and now - conn.since > self.limits.idle_s:
-                self.shut(conn)
+                self.close_conn(conn)
 
     def _after_response(self, conn: CallerConn) -> None:
         if not conn.closed and not conn.close_when_sent:
@@ -281,7 +281,9 @@
             return False
         end += len(http.END_OF_HEAD)
         head = http.read_request(
-            bytes(conn.inbuf[:end]), chunks=True, most=self.limits.body_bytes
+            bytes(conn.inbuf[:end]),
+            allow_chunked=True,
+            max_body_bytes=self.limits.body_bytes,
         )
         del conn.inbuf[:end]
         if isinstance(head, http.Malformed):
--- a/ferrydeck/mesh/net/links.py
+++ b/ferrydeck/mesh/net/links.py
@@ -46,7 +46,7 @@
 class Links(frame_links.FrameLinks):
     """Dials, accepts and serves the links of one daemon."""
 
-    longest = MAX_MESSAGE_BYTES
+    max_frame_bytes = MAX_MESSAGE_BYTES
     flags = DEFLATED_FLAG
 
     def __init__(
@@ -73,7 +73,7 @@
         set_ack_timeout(sock)
         link = Link(sock=sock, address=address)
         self.outgoing[address] = link
-        self.adopt(link)
+        self.add_conn(link)
         self.await_writable(link)
 
     def close_link(self, address: str) -> None:
@@ -81,7 +81,7 @@
         link = self.outgoing.pop(address, None)
         if link is not None:
             link.address = ""
-            self.shut(link)
+            self.close_conn(link)
 
     def send_outgoing(self, address: str, message: messages.AnyMessage) -> None:
         """Send a message on a link that was dialled."""
@@ -108,9 +108,9 @@
         set_ack_timeout(sock)
         link = Link(sock=sock, number=next(_numbers), connected=True)
         self.incoming[link.number] = link
-        self.adopt(link)
+        self.add_conn(link)
 
-    def link_made(self, link: Link) -> None:
+    def link_connected(self, link: Link) -> None:
         """Report that a link stands that was dialled."""
         if link.address:
             self.feed(events.OutgoingLinkUp(address=link.address))
@@ -128,7 +128,7 @@
         else:
             self.feed(events.IncomingLinkMessage(link=link.number, message=message))
 
-    def ended(self, link: Link) -> None:
+    def connection_lost(self, link: Link) -> None:
         """Report the end of a link."""
         if link.address and self.outgoing.get(link.address) is link:
             del self.outgoing[link.address]
@@ -147,8 +147,8 @@
         if link.deflater is not None and len(frame) <= deflate.MAX_FRAME_BYTES:
             frame = link.deflater.pack(frame)
             flag = DEFLATED_FLAG
-        self.bytes_out += len(frame) + frame_links.LENGTH.size
-        self.send(link, frame_links.LENGTH.pack(len(frame) | flag) + frame)
+        self.bytes_out += len(frame) + frame_links.LENGTH_PREFIX.size
+        self.send(link, frame_links.LENGTH_PREFIX.pack(len(frame) | flag) + frame)
 
     def _deflate(self, link: Link | None) -> None:
         deflated = sum(one.deflater is not None for one in self.conns.values())
--- a/ferrydeck/mesh/net/store_client.py
+++ b/ferrydeck/mesh/net/store_client.py
@@ -43,7 +43,10 @@
     ) -> None:
         self.answered = answered
         self.api = api_client.ApiClient(
-            poller=poller, channel="store", address=address, limit=MAX_CONNECTIONS
+            poller=poller,
+            channel="store",
+            address=address,
+            max_connections=MAX_CONNECTIONS,
         )
 
     def ask(self, request: store.Request) -> None:
@@ -55,7 +58,7 @@
         self.api.send(
             call,
             timeout_s=CALL_TIMEOUT_S + wait_s,
-            answered=functools.partial(self._answered, pending),
+            on_result=functools.partial(self._answered, pending),
             fields=api_client.JSON_FIELDS if call.body else None,
         )
 
@@ -73,7 +76,7 @@
     ) -> store.Result | None:
         """Return the result of an answer, `None` where another page is awaited."""
         try:
-            era = kv.era(answer.fields)
+            era = kv.read_era(answer.fields)
         except ValueError as exc:
             return store.NoAnswer(detail=f"answer not understood: {exc}")
         if pending.era not in (None, era):
--- a/ferrydeck/mesh/net/target.py
+++ b/ferrydeck/mesh/net/target.py
@@ -42,9 +42,9 @@
             effect.dispatch,
             method=effect.method,
             path=effect.path,
-            fields=headers.for_target(effect),
+            fields=headers.target_fields(effect),
             body=effect.body,
-            is_answer=lambda fields: headers.answers(request_id, fields),
+            is_answer=lambda fields: headers.matches_request(request_id, fields),
             left_s=effect.left_s,
         )
 
@@ -70,7 +70,7 @@
                     events.TargetAnswered(
                         dispatch=event.ticket,
                         status=event.status,
-                        fields=headers.for_caller(event.fields),
+                        fields=headers.caller_fields(event.fields),
                         body=event.body,
                         more=event.more,
                         total=event.total,
@@ -81,7 +81,7 @@
                 self.feed(
                     events.TargetAnswerPart(dispatch=ticket, data=data, last=last)
                 )
-            case request_client.Lost():
+            case request_client.RequestFailed():
                 self.feed(
                     events.TargetFailed(
                         dispatch=event.ticket,
@@ -93,7 +93,7 @@
 
     def _health_checked(self, event: target_client.Event) -> None:
         if not isinstance(event, target_client.AnswerHead):
-            refused = isinstance(event, request_client.Lost) and event.refused
+            refused = isinstance(event, request_client.RequestFailed) and event.refused
             self.feed(
                 events.ProbeAnswered(
                     healthy=False,
--- a/ferrydeck/mesh/net/target_client.py
+++ b/ferrydeck/mesh/net/target_client.py
@@ -62,7 +62,7 @@
     last: bool
 
 
-Event = AnswerHead | AnswerPart | request_client.Lost
+Event = AnswerHead | AnswerPart | request_client.RequestFailed
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -88,8 +88,8 @@
     """Sends requests to the target and hands their answers to `listener`."""
 
     conn_class = TargetConn
-    probes = KEEPALIVE_PROBES
-    unacked_ms = ACK_TIMEOUT_MS
+    keepalive_probes = KEEPALIVE_PROBES
+    unacked_timeout_ms = ACK_TIMEOUT_MS
     until_close = True
 
     def __init__(
@@ -123,7 +123,7 @@
         conn = self._reuse(now) or self._connect()
         if conn is None:
             self.listener(
-                request_client.Lost(
+                request_client.RequestFailed(
                     ticket=ticket, sent=False, refused=True, detail="no connection"
                 )
             )
@@ -138,28 +138,28 @@
             # The target may leave a long body unread, which the kernel would take for
             # silence.
             conn.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
-        self._start(conn, ticket, now + left_s + DEADLINE_GRACE_S, data)
+        self._send_request(conn, ticket, now + left_s + DEADLINE_GRACE_S, data)
 
     def expire(self, now: float) -> None:
         """Give up requests past their deadline, close connections idle for long."""
         super().expire(now)
         for conn in list(self.idle):
             if now >= conn.idle_until:
-                self.shut(conn)
+                self.close_conn(conn)
 
-    def data_read(self, conn: TargetConn, data: bytes) -> None:
+    def data_received(self, conn: TargetConn, data: bytes) -> None:
         """Read an answer."""
         if not conn.ticket:
             # Bytes after a whole answer belong to no request.
-            self.shut(conn)
+            self.close_conn(conn)
             return
         conn.inbuf += data
         try:
             self._read(conn)
         except bodies.BadBody as exc:
-            self._lose(conn, str(exc))
+            self._fail_request(conn, str(exc))
 
-    def pass_on(self, conn: TargetConn) -> None:
+    def deliver_parts(self, conn: TargetConn) -> None:
         """Hand on what is there, as far as it was asked for."""
         conn.body += conn.reader.take(conn.inbuf)
         if conn.reader.done and len(conn.body) <= conn.credit:
@@ -175,18 +175,18 @@
             conn.credit -= len(data)
             self.listener(AnswerPart(ticket=conn.ticket, data=data, last=False))
 
-    def ended(self, conn: TargetConn) -> None:
+    def connection_lost(self, conn: TargetConn) -> None:
         """Act on the end of a connection: an answer without length is whole then."""
         if conn in self.idle:
             self.idle.remove(conn)
         if not conn.ticket:
             return
-        if conn.read_error or conn.reader is None or not conn.reader.ended():
+        if conn.socket_error or conn.reader is None or not conn.reader.ended():
             self._record_stale(conn)
-            self._report_lost(conn, "connection ended", refused=not conn.connected)
+            self._report_failure(conn, "connection ended", refused=not conn.connected)
             return
         if conn.foreign:
-            self._report_lost(conn, "foreign answer")
+            self._report_failure(conn, "foreign answer")
         elif conn.streaming:
             self._report_last(conn)
         else:
@@ -202,7 +202,7 @@
             if conn.head is None and not self._read_head(conn):
                 return
             if conn.streaming:
-                self.pass_on(conn)
+                self.deliver_parts(conn)
                 return
             conn.body += conn.reader.take(conn.inbuf)
             if not conn.reader.done:
@@ -286,7 +286,7 @@
         conn.streaming = False
         early = bool(conn.outbuf)
         if not conn.head.keep_alive or conn.inbuf or early:
-            self.shut(conn)
+            self.close_conn(conn)
             return
         now = clock.now()
         stated_s = keep_alive_s(conn.head.fields)
@@ -306,7 +306,7 @@
             conn.idle_s = now - conn.idle_since
             if now < conn.idle_until and conn.idle_s < self._safe_idle_s:
                 return conn
-            self.shut(conn)
+            self.close_conn(conn)
         return None
 
     def _record_stale(self, conn: TargetConn) -> None:
--- a/ferrydeck/net/api_client.py
+++ b/ferrydeck/net/api_client.py
@@ -51,7 +51,7 @@
     """Sends calls to one address and hands each result to the caller's function."""
 
     def __init__(
-        self, *, poller: poller.Poller, channel: str, address: str, limit: int
+        self, *, poller: poller.Poller, channel: str, address: str, max_connections: int
     ) -> None:
         self._waiting: dict[int, Callable[[Result], None]] = {}
         self._tickets = itertools.count(1)
@@ -59,9 +59,9 @@
             poller=poller,
             channel=channel,
             address=address,
-            limit=limit,
+            max_connections=max_connections,
             listener=self._answered,
-            whole=MAX_ANSWER,
+            max_buffered_bytes=MAX_ANSWER,
         )
 
     def send(
@@ -69,12 +69,12 @@
         call: Call,
         *,
         timeout_s: float,
-        answered: Callable[[Result], None],
+        on_result: Callable[[Result], None],
         fields: http.Fields | None = None,
     ) -> None:
         """Send a call; `answered` gets its result within `timeout_s`, seconds."""
         ticket = next(self._tickets)
-        self._waiting[ticket] = answered
+        self._waiting[ticket] = on_result
         self.http.request(
             ticket,
             method=call.method,
@@ -89,17 +89,17 @@
         self.http.expire(now)
 
     def _answered(self, event: http_client.Event) -> None:
-        answered = self._waiting.pop(event.ticket, None)
-        if answered is None:
+        on_result = self._waiting.pop(event.ticket, None)
+        if on_result is None:
             return
         match event:
             case http_client.Replied(total=total, body=body) if total > len(body):
                 self.http.cancel(event.ticket)
-                answered(NoAnswer(detail="answer too long"))
+                on_result(NoAnswer(detail="answer too long"))
             case http_client.Replied(status=status, body=body, fields=fields):
-                answered(Answer(status=status, body=body, fields=fields))
-            case request_client.Lost(detail=detail):
+                on_result(Answer(status=status, body=body, fields=fields))
+            case request_client.RequestFailed(detail=detail):
                 # Whatever ended or silenced this connection may have done so to the
                 # idle ones, while a new one works.
                 self.http.drop_idle()
-                answered(NoAnswer(detail=detail))
+                on_result(NoAnswer(detail=detail))
--- a/ferrydeck/net/core_driver.py
+++ b/ferrydeck/net/core_driver.py
@@ -12,25 +12,25 @@
 import circuits
 
 from ferrydeck import clock
-from ferrydeck.net import collector
+from ferrydeck.net import gc_tuning
 
 
 class CoreDriver(circuits.BaseComponent):
     """Feeds events to a core, one after the other, and carries out its effects."""
 
-    settle_gc_s = 0.0
+    gc_freeze_delay_s = 0.0
     """When the garbage collector is settled after the start, seconds."""
 
     def __init__(self, *, core: Any) -> None:
         super().__init__()
         self.core = core
-        self.end_at: float | None = None
+        self.exit_at: float | None = None
         """When the process ends, `None` until that is known; time of `clock.now`."""
         self._pending: collections.deque[Any] = collections.deque()
         self._feeding = False
-        self._settle_gc_at = clock.now() + self.settle_gc_s
+        self._gc_freeze_at = clock.now() + self.gc_freeze_delay_s
 
-    def carry_out(self, effect: Any) -> None:
+    def execute(self, effect: Any) -> None:
         """Do what the core asks for."""
         raise NotImplementedError
 
@@ -45,7 +45,7 @@
     def start_core(self) -> None:
         """Start the core, once everything else is there."""
         for effect in self.core.start(clock.now()):
-            self.carry_out(effect)
+            self.execute(effect)
 
     def feed(self, event: Any) -> None:
         """Give the core an event, after those that wait already."""
@@ -57,15 +57,15 @@
             while self._pending:
                 event = self._pending.popleft()
                 for effect in self.core.handle(clock.now(), event):
-                    self.carry_out(effect)
+                    self.execute(effect)
         finally:
             self._feeding = False
 
-    def settle_collector(self, now: float) -> None:
+    def freeze_startup_objects(self, now: float) -> None:
         """Settle the garbage collector once, some time after the start."""
-        if self._settle_gc_at and now >= self._settle_gc_at:
-            self._settle_gc_at = 0.0
-            collector.settle()
+        if self._gc_freeze_at and now >= self._gc_freeze_at:
+            self._gc_freeze_at = 0.0
+            gc_tuning.freeze_startup_objects()
 
     @circuits.handler("signal", channel="*")
     def _on_signal(self, signo: int, stack: object) -> None:
--- a/ferrydeck/net/frame_links.py
+++ b/ferrydeck/net/frame_links.py
@@ -16,7 +16,7 @@
 
 from ferrydeck.net import poller, sockets
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -31,7 +31,7 @@
 class FrameLinks(sockets.SocketComponent):
     """Accepts, dials and reads the links of one daemon."""
 
-    longest = 0
+    max_frame_bytes = 0
     """The longest frame that is read, bytes."""
     flags = 0
     """Bits of the length that are no part of it."""
@@ -43,14 +43,14 @@
         self.faults: collections.Counter[str] = collections.Counter()
         self.bytes_in = 0
         self.bytes_out = 0
-        self.listening = sockets.listener(ip, port)
-        self.poller.serve(self.listening, self.on_read, self.on_write)
+        self.listening = sockets.open_listener(ip, port)
+        self.poller.watch(self.listening, self.on_read, self.on_write)
 
     def link_accepted(self, sock: socket.socket) -> None:
         """Act on a connection that another daemon made."""
         raise NotImplementedError
 
-    def link_made(self, link: Any) -> None:
+    def link_connected(self, link: Any) -> None:
         """Act on a connection that was made from here and stands now."""
         raise NotImplementedError
 
@@ -60,32 +60,32 @@
 
     def close(self) -> None:
         """Close all sockets; nothing is reported of it."""
-        self.poller.leave(self.listening)
+        self.poller.unwatch(self.listening)
         self.listening.close()
         for link in list(self.conns.values()):
             link.closed = True
-            self.poller.leave(link.sock)
+            self.poller.unwatch(link.sock)
             link.sock.close()
 
-    def other_readable(self, source: object) -> None:
+    def listener_readable(self, source: object) -> None:
         """Take the connections that wait."""
-        for sock, _ in sockets.accept_all(self.listening):
+        for sock, _ in sockets.accept_pending(self.listening):
             self.link_accepted(sock)
 
-    def data_read(self, link: Any, data: bytes) -> None:
+    def data_received(self, link: Any, data: bytes) -> None:
         """Take the whole frames out of what came in."""
         self.bytes_in += len(data)
         link.inbuf += data
-        while not link.closed and len(link.inbuf) >= LENGTH.size:
-            [stated] = LENGTH.unpack_from(link.inbuf)
+        while not link.closed and len(link.inbuf) >= LENGTH_PREFIX.size:
+            [stated] = LENGTH_PREFIX.unpack_from(link.inbuf)
             length = stated & ~self.flags
-            if length > self.longest:
+            if length > self.max_frame_bytes:
                 self._fail(link, "too-long")
                 return
-            end = LENGTH.size + length
+            end = LENGTH_PREFIX.size + length
             if len(link.inbuf) < end:
                 return
-            frame = bytes(link.inbuf[LENGTH.size : end])
+            frame = bytes(link.inbuf[LENGTH_PREFIX.size : end])
             del link.inbuf[:end]
             self.frame_read(link, frame, stated & self.flags)
 
@@ -94,13 +94,13 @@
         if link.connected:
             return True
         if link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self.shut(link)
+            self.close_conn(link)
             return False
         link.connected = True
-        self.link_made(link)
+        self.link_connected(link)
         return not link.closed
 
     def _fail(self, link: Any, fault: str) -> None:
         """Count a fault of the other side and close the link."""
         self.faults[fault] += 1
-        self.shut(link)
+        self.close_conn(link)
--- a/ferrydeck/net/collector.py
+++ b/ferrydeck/net/gc_tuning.py
@@ -13,7 +13,7 @@
 a call makes some hundred objects, and the usual 700 would stop each tenth call."""
 
 
-def settle() -> None:
+def freeze_startup_objects() -> None:
     """Take what was made at the start out of the garbage collector's rounds."""
     gc.collect()
     gc.freeze()
--- a/ferrydeck/net/http.py
+++ b/ferrydeck/net/http.py
@@ -16,9 +16,9 @@
 """Header fields, names in lower case, in the order in which they stand."""
 
 END_OF_HEAD = b"\r\n\r\n"
-MAX_HEAD = 32 * 1024
+MAX_HEAD_BYTES = 32 * 1024
 """The longest head that is read, bytes."""
-MAX_BODY = 16 * 1024 * 1024
+MAX_BODY_BYTES = 16 * 1024 * 1024
 """The longest request body that is read, bytes."""
 VERSIONS = ("HTTP/1.0", "HTTP/1.1")
 FRAMING = ("content-length", "transfer-encoding", "host")
@@ -68,7 +68,7 @@
 
 
 def read_request(
-    head: bytes, *, chunks: bool = False, most: int = MAX_BODY
+    head: bytes, *, allow_chunked: bool = False, max_body_bytes: int = MAX_BODY_BYTES
 ) -> RequestHead | Malformed:
     """Read the head of a request, its end included.
 
@@ -81,7 +81,7 @@
     except BadHead as exc:
         return Malformed(status=400, detail=str(exc))
     coding = named.get("transfer-encoding")
-    if coding is not None and not chunks:
+    if coding is not None and not allow_chunked:
         return Malformed(status=411, detail="a body needs a length")
     length = length_of(named.get("content-length"))
     if length is None:
@@ -90,7 +90,7 @@
         if coding.lower() != "chunked" or "content-length" in named:
             return Malformed(status=400, detail="a body of unclear length")
         length = CHUNKED
-    if length > most:
+    if length > max_body_bytes:
         return Malformed(status=413, detail="body too large")
     if not path.startswith("/") or path.startswith("//"):
         return Malformed(status=400, detail="the target of a request is a path")
--- a/ferrydeck/net/http_client.py
+++ b/ferrydeck/net/http_client.py
@@ -41,7 +41,7 @@
     data: bytes
 
 
-Event = Replied | More | request_client.Lost
+Event = Replied | More | request_client.RequestFailed
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -63,15 +63,15 @@
         poller: poller.Poller,
         channel: str,
         address: str,
-        limit: int,
+        max_connections: int,
         listener: Callable[[Event], None],
-        whole: int = WHOLE,
+        max_buffered_bytes: int = WHOLE,
     ) -> None:
         super().__init__(
             poller=poller, channel=channel, address=address, listener=listener
         )
-        self.whole = whole
-        self.limit = limit
+        self.max_buffered_bytes = max_buffered_bytes
+        self.max_connections = max_connections
 
     def request(
         self,
@@ -88,54 +88,54 @@
         conn = self.idle.pop() if self.idle else self._connect()
         if conn is None:
             self.listener(
-                request_client.Lost(
+                request_client.RequestFailed(
                     ticket=ticket, sent=False, refused=True, detail="no connection"
                 )
             )
             return
         conn.passed = 0
-        self._start(conn, ticket, deadline, data)
+        self._send_request(conn, ticket, deadline, data)
 
     def drop_idle(self) -> None:
         """Close the connections that carry no request."""
         for conn in list(self.idle):
-            self.shut(conn)
+            self.close_conn(conn)
 
-    def data_read(self, conn: ClientConn, data: bytes) -> None:
+    def data_received(self, conn: ClientConn, data: bytes) -> None:
         """Read an answer."""
         if not conn.ticket:
-            self.shut(conn)
+            self.close_conn(conn)
             return
         conn.inbuf += data
         if conn.streaming:
-            self.pass_on(conn)
+            self.deliver_parts(conn)
             return
         if conn.head is None and not self._read_head(conn):
             return
         if conn.head.length < 0:
             self._read_chunked(conn)
-        elif len(conn.inbuf) >= min(conn.head.length, self.whole):
+        elif len(conn.inbuf) >= min(conn.head.length, self.max_buffered_bytes):
             self._hand_on(conn)
 
-    def ended(self, conn: ClientConn) -> None:
+    def connection_lost(self, conn: ClientConn) -> None:
         """Report the loss of an answer whose connection ended."""
         if conn in self.idle:
             self.idle.remove(conn)
         if conn.ticket:
-            self._report_lost(conn, "connection ended")
+            self._report_failure(conn, "connection ended")
 
     def _connect(self) -> ClientConn | None:
-        return super()._connect() if len(self.conns) < self.limit else None
+        return super()._connect() if len(self.conns) < self.max_connections else None
 
     def _read_chunked(self, conn: ClientConn) -> None:
         try:
             body = http.read_chunked(bytes(conn.inbuf))
         except ValueError:
-            self._lose(conn, "bad chunk")
+            self._fail_request(conn, "bad chunk")
             return
         if body is None:
             if len(conn.inbuf) > MAX_CHUNKED:
-                self._lose(conn, "chunked body too long")
+                self._fail_request(conn, "chunked body too long")
             return
         conn.inbuf.clear()
         self._reply(conn, body, len(body))
@@ -144,9 +144,9 @@
         """Hand on a whole body, or the first part of a long one."""
         length = conn.head.length
         if len(conn.inbuf) > length:
-            self._lose(conn, "more bytes than its length")
+            self._fail_request(conn, "more bytes than its length")
             return
-        if length <= self.whole:
+        if length <= self.max_buffered_bytes:
             body = bytes(conn.inbuf)
             conn.inbuf.clear()
             self._reply(conn, body, length)
@@ -170,7 +170,7 @@
             self._release(conn)
         self.listener(replied)
 
-    def pass_on(self, conn: ClientConn) -> None:
+    def deliver_parts(self, conn: ClientConn) -> None:
         """Hand on as many parts as were asked for and are there."""
         while conn.credit and conn.inbuf and not conn.closed:
             data = bytes(conn.inbuf[:PART])
@@ -195,7 +195,7 @@
         conn.ticket = 0
         conn.streaming = False
         if not conn.head.keep_alive or conn.inbuf:
-            self.shut(conn)
+            self.close_conn(conn)
             return
         self.resume_reading(conn)
         self.idle.append(conn)
--- a/ferrydeck/net/poller.py
+++ b/ferrydeck/net/poller.py
@@ -15,8 +15,8 @@
 
 from circuits.core import pollers
 
-Served = Callable[[Any], None]
-ROUNDS = 64
+ReadyCallback = Callable[[Any], None]
+MAX_POLLS_PER_TICK = 64
 """Rounds of the poller in one of circuits' own, so that its tasks get their turn."""
 
 
@@ -27,21 +27,23 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.between: Callable[[], float] | None = None
+        self.run_due: Callable[[], float] | None = None
         """Does what is due and returns the time until more is, seconds. With it the
         poller polls on by itself while circuits has no events: a round of circuits'
         dispatcher costs about as much as a decision."""
-        self._direct: dict[int, tuple[Any, Served, Served]] = {}
+        self._watched: dict[int, tuple[Any, ReadyCallback, ReadyCallback]] = {}
         self._masks: dict[int, int] = {}
 
-    def serve(self, source: Any, on_read: Served, on_write: Served) -> None:
+    def watch(
+        self, source: Any, on_read: ReadyCallback, on_write: ReadyCallback
+    ) -> None:
         """Serve a source directly from now on; it is read at once."""
         fileno = fileno_of(source)
-        self._direct[fileno] = (source, on_read, on_write)
+        self._watched[fileno] = (source, on_read, on_write)
         self._masks[fileno] = select.EPOLLIN
         self._poller.register(fileno, select.EPOLLIN)
 
-    def want(self, source: Any, *, read: bool, write: bool) -> None:
+    def set_interest(self, source: Any, *, read: bool, write: bool) -> None:
         """Set whether a source is served for reading and for writing."""
         fileno = fileno_of(source)
         mask = (select.EPOLLIN if read else 0) | (select.EPOLLOUT if write else 0)
@@ -49,34 +51,34 @@
             self._masks[fileno] = mask
             self._poller.modify(fileno, mask)
 
-    def leave(self, source: Any) -> None:
+    def unwatch(self, source: Any) -> None:
         """Serve a source no more; to be called before it is closed."""
         fileno = fileno_of(source)
-        if self._direct.pop(fileno, None) is not None:
+        if self._watched.pop(fileno, None) is not None:
             del self._masks[fileno]
             self._poller.unregister(fileno)
 
     def _generate_events(self, event: Any) -> None:
         super()._generate_events(event)
-        if self.between is None:
+        if self.run_due is None:
             return
-        for _ in range(ROUNDS):
-            timeout_s = self.between()
+        for _ in range(MAX_POLLS_PER_TICK):
+            timeout_s = self.run_due()
             if len(self.root):
                 return
             for fileno, mask in self._poller.poll(timeout_s):
                 self._process(fileno, mask)
 
     def _process(self, fileno: int, event: int) -> None:
-        direct = self._direct.get(fileno)
-        if direct is None:
+        watched = self._watched.get(fileno)
+        if watched is None:
             super()._process(fileno, event)
             return
-        source, on_read, on_write = direct
+        source, on_read, on_write = watched
         if event & ~select.EPOLLOUT:
             # Ends and errors show as readable too: the read finds out which it is.
             on_read(source)
-        if event & select.EPOLLOUT and self._direct.get(fileno) is direct:
+        if event & select.EPOLLOUT and self._watched.get(fileno) is watched:
             on_write(source)
 
 
--- a/ferrydeck/net/request_client.py
+++ b/ferrydeck/net/request_client.py
@@ -18,7 +18,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Lost:
+class RequestFailed:
     """No whole answer will come."""
 
     ticket: int
@@ -51,10 +51,10 @@
     """Sends requests to one address and hands their answers to `listener`."""
 
     conn_class: type[RequestConn] = RequestConn
-    probes = 1
+    keepalive_probes = 1
     """Unanswered probes of the kernel after which a connection is lost: one, as lost
     requests of this kind are asked again."""
-    unacked_ms = 0
+    unacked_timeout_ms = 0
     """How long sent bytes may stay unacknowledged; 0 where requests time out sooner."""
     until_close = False
     """Whether a body may end with its connection."""
@@ -73,7 +73,7 @@
         self.idle: list[Any] = []
         self.by_ticket: dict[int, Any] = {}
 
-    def pass_on(self, conn: Any) -> None:
+    def deliver_parts(self, conn: Any) -> None:
         """Hand on what is there of a long answer, as far as the credit goes."""
         raise NotImplementedError
 
@@ -83,7 +83,7 @@
         if conn is None or not conn.streaming:
             return
         conn.credit += credit
-        self.pass_on(conn)
+        self.deliver_parts(conn)
         if not conn.closed and conn.streaming:
             self.resume_reading(conn)
 
@@ -92,13 +92,13 @@
         conn = self.by_ticket.pop(ticket, None)
         if conn is not None:
             conn.ticket = 0
-            self.shut(conn)
+            self.close_conn(conn)
 
     def expire(self, now: float) -> None:
         """Give up the requests whose deadline is past, but for long answers."""
         for conn in list(self.by_ticket.values()):
             if now >= conn.deadline and not conn.streaming:
-                self._lose(conn, "no answer in time")
+                self._fail_request(conn, "no answer in time")
 
     def writable(self, conn: Any) -> bool:
         """Finish a connect; the request that waited for it goes out then."""
@@ -107,7 +107,7 @@
         error = conn.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
             name = errno.errorcode.get(error, str(error))
-            self._lose(conn, name, refused=error == errno.ECONNREFUSED)
+            self._fail_request(conn, name, refused=error == errno.ECONNREFUSED)
             return False
         conn.connected = True
         conn.sent = bool(conn.outbuf)
@@ -118,13 +118,19 @@
         sock = sockets.dial(self.address)
         if sock is None:
             return None
-        sockets.end_when_silent(sock, probes=self.probes, unacked_ms=self.unacked_ms)
+        sockets.enable_keepalive(
+            sock,
+            keepalive_probes=self.keepalive_probes,
+            unacked_timeout_ms=self.unacked_timeout_ms,
+        )
         conn = self.conn_class(sock=sock)
-        self.adopt(conn)
+        self.add_conn(conn)
         self.await_writable(conn)
         return conn
 
-    def _start(self, conn: Any, ticket: int, deadline: float, data: bytes) -> None:
+    def _send_request(
+        self, conn: Any, ticket: int, deadline: float, data: bytes
+    ) -> None:
         """Send a request on a connection that carries none."""
         conn.ticket = ticket
         conn.deadline = deadline
@@ -142,27 +148,27 @@
         """Read the head of an answer; false where it is not whole or not usable."""
         end = conn.inbuf.find(http.END_OF_HEAD)
         if end < 0:
-            if len(conn.inbuf) > http.MAX_HEAD:
-                self._lose(conn, "head too long")
+            if len(conn.inbuf) > http.MAX_HEAD_BYTES:
+                self._fail_request(conn, "head too long")
             return False
         end += len(http.END_OF_HEAD)
         head = http.read_response(bytes(conn.inbuf[:end]), until_close=self.until_close)
         del conn.inbuf[:end]
         if isinstance(head, http.Malformed):
-            self._lose(conn, head.detail)
+            self._fail_request(conn, head.detail)
             return False
         conn.head = head
         return True
 
-    def _lose(self, conn: Any, detail: str, *, refused: bool = False) -> None:
+    def _fail_request(self, conn: Any, detail: str, *, refused: bool = False) -> None:
         """Close a connection; its request, if it has one, is lost."""
         if conn.ticket:
-            self._report_lost(conn, detail, refused=refused)
-        self.shut(conn)
+            self._report_failure(conn, detail, refused=refused)
+        self.close_conn(conn)
 
-    def _report_lost(self, conn: Any, detail: str, *, refused: bool = False) -> None:
+    def _report_failure(self, conn: Any, detail: str, *, refused: bool = False) -> None:
         ticket, conn.ticket = conn.ticket, 0
         self.by_ticket.pop(ticket, None)
         self.listener(
-            Lost(ticket=ticket, sent=conn.sent, refused=refused, detail=detail)
+            RequestFailed(ticket=ticket, sent=conn.sent, refused=refused, detail=detail)
         )
--- a/ferrydeck/net/sockets.py
+++ b/ferrydeck/net/sockets.py
@@ -38,7 +38,7 @@
     reading: bool = False
     writing: bool = False
     closed: bool = False
-    read_error: bool = False
+    socket_error: bool = False
     """Whether it was reset, not ended by the other side."""
     close_when_sent: bool = False
 
@@ -55,15 +55,15 @@
         """Read a socket that is ready; raises nothing that ends the loop."""
         conn = self.conns.get(source)
         if conn is None:
-            self.other_readable(source)
+            self.listener_readable(source)
             return
         data = self._receive(conn)
         if data is None:
             return
         if not data:
-            self.shut(conn)
+            self.close_conn(conn)
             return
-        self.data_read(conn, data)
+        self.data_received(conn, data)
 
     def on_write(self, source: Any) -> None:
         """Write to a socket that takes bytes again."""
@@ -72,10 +72,10 @@
             return
         self._push(conn)
 
-    def other_readable(self, source: Any) -> None:
+    def listener_readable(self, source: Any) -> None:
         """Act on a source that is no connection, a listening socket for one."""
 
-    def data_read(self, conn: Any, data: bytes) -> None:
+    def data_received(self, conn: Any, data: bytes) -> None:
         """Act on bytes that came in."""
         raise NotImplementedError
 
@@ -86,14 +86,14 @@
     def drained(self, conn: Any) -> None:
         """Act on a connection whose bytes are all out."""
 
-    def ended(self, conn: Any) -> None:
+    def connection_lost(self, conn: Any) -> None:
         """Act on a connection that is closed now."""
 
-    def adopt(self, conn: Any) -> None:
+    def add_conn(self, conn: Any) -> None:
         """Start reading a connection."""
         self.conns[conn.sock] = conn
         conn.reading = True
-        self.poller.serve(conn.sock, self.on_read, self.on_write)
+        self.poller.watch(conn.sock, self.on_read, self.on_write)
 
     def resume_reading(self, conn: Any) -> None:
         """Read the connection again."""
@@ -118,8 +118,8 @@
             sent = conn.sock.send(data)
         except OSError as exc:
             if exc.errno not in AGAIN:
-                conn.read_error = True
-                self.shut(conn)
+                conn.socket_error = True
+                self.close_conn(conn)
                 return
             sent = 0
         if sent < len(data):
@@ -134,18 +134,18 @@
             conn.writing = True
             self._want(conn)
 
-    def shut(self, conn: Any) -> None:
+    def close_conn(self, conn: Any) -> None:
         """Close a connection."""
         if conn.closed:
             return
         conn.closed = True
         self.conns.pop(conn.sock, None)
-        self.poller.leave(conn.sock)
+        self.poller.unwatch(conn.sock)
         conn.sock.close()
-        self.ended(conn)
+        self.connection_lost(conn)
 
     def _want(self, conn: Any) -> None:
-        self.poller.want(conn.sock, read=conn.reading, write=conn.writing)
+        self.poller.set_interest(conn.sock, read=conn.reading, write=conn.writing)
 
     def _receive(self, conn: Any) -> bytes | None:
         """Return what came in, nothing at the end, `None` where none is there yet."""
@@ -156,7 +156,7 @@
         except OSError as exc:
             if exc.errno in AGAIN:
                 return None
-            conn.read_error = True
+            conn.socket_error = True
             return b""
 
     def _push(self, conn: Any) -> None:
@@ -164,8 +164,8 @@
             sent = conn.sock.send(conn.outbuf) if conn.outbuf else 0
         except OSError as exc:
             if exc.errno not in AGAIN:
-                conn.read_error = True
-                self.shut(conn)
+                conn.socket_error = True
+                self.close_conn(conn)
             return
         del conn.outbuf[:sent]
         if conn.outbuf:
@@ -176,12 +176,12 @@
 
     def _all_sent(self, conn: Any) -> None:
         if conn.close_when_sent:
-            self.shut(conn)
+            self.close_conn(conn)
             return
         self.drained(conn)
 
 
-def listener(ip: str, port: int) -> socket.socket:
+def open_listener(ip: str, port: int) -> socket.socket:
     """Return a listening socket."""
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
@@ -192,7 +192,7 @@
     return sock
 
 
-def accept_all(listening: socket.socket) -> Iterator[tuple[socket.socket, str]]:
+def accept_pending(listening: socket.socket) -> Iterator[tuple[socket.socket, str]]:
     """Take the connections that wait; yield each with its other end's IP number."""
     while True:
         try:
@@ -212,7 +212,9 @@
     return host.strip("[]"), int(port)
 
 
-def end_when_silent(sock: socket.socket, *, probes: int, unacked_ms: int = 0) -> None:
+def enable_keepalive(
+    sock: socket.socket, *, keepalive_probes: int, unacked_timeout_ms: int = 0
+) -> None:
     """Have the kernel end a connection that says nothing more, without a reset.
 
     It ends after some unanswered probes, or once sent bytes have not been acknowledged
@@ -221,9 +223,9 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
-    if unacked_ms:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, keepalive_probes)
+    if unacked_timeout_ms:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_timeout_ms)
 
 
 def dial(address: str) -> socket.socket | None:
--- a/ferrydeck/platform/headers.py
+++ b/ferrydeck/platform/headers.py
@@ -63,13 +63,13 @@
     host: str
     deadline_s: float | None
     """How long the caller waits, seconds; `None` where it did not say."""
-    deadline_fault: bool
+    invalid_deadline: bool
     """Whether the stated deadline is no number of milliseconds."""
     fields: messages.Fields
     """The fields that go on to a target."""
     key: str = attrs.field(default="", repr=False)
     """The key that shows whose the request is; empty for none."""
-    key_fault: bool = False
+    multiple_keys: bool = False
     """Whether it has more than one key."""
 
 
@@ -86,14 +86,14 @@
         request_id=named.get(REQUEST_ID, "").strip(),
         host=named.get(HOST, ""),
         deadline_s=int(stated) / 1000 if usable else None,
-        deadline_fault=bool(stated) and not usable,
+        invalid_deadline=bool(stated) and not usable,
         fields=_passed_on(fields, named, SET_BY_US_WITH_TEAMS if teams else SET_BY_US),
         key=named.get(KEY, "") if teams else "",
-        key_fault=teams and sum(name == KEY for name, _ in fields) > 1,
+        multiple_keys=teams and sum(name == KEY for name, _ in fields) > 1,
     )
 
 
-def run_of(request_id: str) -> str:
+def run_id_of(request_id: str) -> str:
     """Return the id of the run that makes a request, empty where the id names none.
 
     Targets give each call an id of its own: that of its run, a dot and a suffix. The
@@ -102,7 +102,7 @@
     return request_id.rpartition(".")[0]
 
 
-def for_target(request: effects.Dispatch) -> messages.Fields:
+def target_fields(request: effects.Dispatch) -> messages.Fields:
     """Return the fields with which a request is sent to a target."""
     own = [
         (REQUEST_ID, request.request_id),
@@ -115,7 +115,7 @@
     return [*request.fields, *own]
 
 
-def for_caller(fields: messages.Fields) -> messages.Fields:
+def caller_fields(fields: messages.Fields) -> messages.Fields:
     """Return the fields of a target's answer that a caller gets."""
     return _passed_on(fields, dict(fields), frozenset())
 
@@ -131,12 +131,12 @@
     )
 
 
-def answers(request_id: str, fields: messages.Fields) -> bool:
+def matches_request(request_id: str, fields: messages.Fields) -> bool:
     """Return whether an answer belongs to a request: targets echo its id."""
     return dict(fields).get(REQUEST_ID, request_id) == request_id
 
 
-def for_rejection(request_id: str, retry_after_s: float | None) -> messages.Fields:
+def rejection_fields(request_id: str, retry_after_s: float | None) -> messages.Fields:
     """Return the fields of an answer that ferrydeck gives itself; times in seconds."""
     fields = [(REQUEST_ID, request_id)] if request_id else []
     if retry_after_s is not None:
--- a/ferrydeck/platform/heartbeats.py
+++ b/ferrydeck/platform/heartbeats.py
@@ -65,7 +65,7 @@
     try:
         report = msgspec.json.decode(body, type=HeartbeatBody)
         ready = STATES[report.state]
-        warmup_s = units.seconds(report.cold_remaining)
+        warmup_s = units.parse_duration(report.cold_remaining)
     except (msgspec.DecodeError, LookupError, ValueError):
         return None
     if report.born < 0 or report.sequence < 0 or report.slots < 0:
--- a/ferrydeck/platform/kv.py
+++ b/ferrydeck/platform/kv.py
@@ -87,7 +87,7 @@
         return ""
 
 
-def era(fields: http.Fields) -> int:
+def read_era(fields: http.Fields) -> int:
     """Return the era that an answer states, 0 for none; raises `ValueError`."""
     stated = dict(fields).get(ERA_FIELD)
     if stated is None:
@@ -148,10 +148,12 @@
             return store.BoxesFound(records=found, odd=len(records) - len(found))
         case store.GrantLease():
             return store.Leased(
-                lease=answer["lease"], ttl_s=units.seconds(answer["ttl_time"])
+                lease=answer["lease"], ttl_s=units.parse_duration(answer["ttl_time"])
             )
         case store.KeepLease(lease=lease):
-            return store.Leased(lease=lease, ttl_s=units.seconds(answer["ttl_time"]))
+            return store.Leased(
+                lease=lease, ttl_s=units.parse_duration(answer["ttl_time"])
+            )
 
 
 def _policy(item: dict[str, Any], at: int) -> store.PolicyFound:
--- a/ferrydeck/platform/limits.py
+++ b/ferrydeck/platform/limits.py
@@ -41,12 +41,19 @@
             _add(found, field, float, stated[name], name, report)
     for name, field in TIMES.items():
         if name in stated:
-            _add(found, field, units.seconds, stated[name], name, report)
+            _add(found, field, units.parse_duration, stated[name], name, report)
     found.pop(DRAIN, None)
     if stated.get(STRICT_REVOKE) == TRUE and REVOKE in stated:
-        _add(found, "revoke_s", units.seconds, stated[REVOKE], REVOKE, report)
+        _add(found, "revoke_s", units.parse_duration, stated[REVOKE], REVOKE, report)
     if heartbeat:
-        _add(found, "heartbeat_s", units.seconds, heartbeat, "report_interval", report)
+        _add(
+            found,
+            "heartbeat_s",
+            units.parse_duration,
+            heartbeat,
+            "report_interval",
+            report,
+        )
     return attrs.evolve(context.Limits(), **found)
 
 
--- a/ferrydeck/platform/manifest.py
+++ b/ferrydeck/platform/manifest.py
@@ -59,7 +59,7 @@
     teams = _teams(table, keyring, report) if table.get(TEAMS) else {}
     try:
         return policy.Policy(
-            version=units.version(table.get("version")),
+            version=units.parse_version(table.get("version")),
             routes=tuple(routes),
             services=known,
             teams=teams,
@@ -142,9 +142,9 @@
     host, prefix = row["host"], row["path_prefix"]
     if not host or not prefix.startswith("/") or not prefix.endswith("/"):
         raise ValueError("a route needs a host and a prefix between slashes")
-    timeout_s = units.seconds(row["timeout"])
+    timeout_s = units.parse_duration(row["timeout"])
     # The time within which an answer is on time, not a latency of the target.
-    objective_s = units.seconds(row.get("target_latency", row["timeout"]))
+    objective_s = units.parse_duration(row.get("target_latency", row["timeout"]))
     attempts, priority = row.get("max_attempts", 1), row.get("priority", 0)
     if timeout_s <= 0 or objective_s < 0 or attempts < 1 or priority < 0:
         raise ValueError("times and numbers of a route have to be above zero")
@@ -196,4 +196,4 @@
 
 
 def _time(table: dict[str, Any], name: str, usual: float) -> float:
-    return units.seconds(table[name]) if name in table else usual
+    return units.parse_duration(table[name]) if name in table else usual
--- a/ferrydeck/platform/units.py
+++ b/ferrydeck/platform/units.py
@@ -2,25 +2,25 @@
 
 from __future__ import annotations
 
-UNITS = {"ms": 0.001, "s": 1.0}
+SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0}
 """Seconds in each unit; `ms` stands first, as it ends in `s` too."""
 
 
-def seconds(text: object) -> float:
+def parse_duration(text: object) -> float:
     """Return the seconds in a text such as `1500ms` or `2.5s`.
 
     Raises `ValueError` for anything else.
     """
     if not isinstance(text, str):
         raise ValueError(f"expected a time with its unit, got {text!r}")
-    for unit, factor in UNITS.items():
+    for unit, factor in SECONDS_PER_UNIT.items():
         number = text.removesuffix(unit)
         if number != text and number.replace(".", "", 1).isdigit():
             return float(number) * factor
     raise ValueError(f"expected a time with its unit, got {text!r}")
 
 
-def version(text: object) -> int:
+def parse_version(text: object) -> int:
     """Return the number in a version such as `r12`; raises `ValueError`."""
     if not isinstance(text, str) or not text.startswith("r"):
         raise ValueError(f"expected a version such as r12, got {text!r}")
--- a/ferrydeck/program.py
+++ b/ferrydeck/program.py
@@ -12,7 +12,7 @@
 
 EXIT_BAD_INPUT = 2
 """The settings can't be used; the findings are on standard error."""
-EXIT_ADDRESS_TAKEN = 3
+EXIT_ADDRESS_IN_USE = 3
 """Another process listens at an address of the settings."""
 
 
@@ -50,5 +50,5 @@
         if exc.errno != errno.EADDRINUSE:
             raise
         print(f"{args.settings}: an address is taken: {exc}", file=sys.stderr)
-        return EXIT_ADDRESS_TAKEN
+        return EXIT_ADDRESS_IN_USE
     return 0
--- a/ferrydeck/replay/world.py
+++ b/ferrydeck/replay/world.py
@@ -118,7 +118,7 @@
 
     def use(self, bundle: bundles.Bundle) -> None:
         """Put a bundle in force at every box, now and when one starts."""
-        body = bundles.canonical(bundle).decode()
+        body = bundles.canonical_body(bundle).decode()
         signed = signing.SignedBundle(body=body)
         self._verified = signing.Verified(
             signed=signed, bundle=bundle, raw=signing.encode(signed), signers=("test",)
@@ -345,7 +345,7 @@
             receiver=effect.incarnation,
             bundle=box.core.rollout.version,
             sent=self._now(box),
-            body=codec.EMPTY,
+            body=codec.EMPTY_BODY,
         )
         received = codec.Received(envelope=envelope, message=effect.message)
         event = events.PeerReceived(received=received)
--- a/ferrydeck/signed/bundle.py
+++ b/ferrydeck/signed/bundle.py
@@ -13,7 +13,7 @@
 NAME = options.Text(pattern=options.NAME_PATTERN)
 DIGEST = options.Text(pattern=r"([0-9a-f]{64})?")
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH")
-SHARDS = 32
+SHARD_COUNT = 32
 """Shards a service; a constant of the protocol, so that no change can split keys."""
 
 
@@ -115,22 +115,22 @@
         return once.resend_window_s + self.longest_deadline_s + once.lease_s
 
     @property
-    def kept_s(self) -> float:
+    def key_retention_s(self) -> float:
         """How long an owner remembers a key after it first saw it, seconds."""
         return self.once.resend_window_s + self.longest_deadline_s
 
 
 def load(path: str) -> Bundle | findings.Rejected:
     """Read and check the bundle file at `path`."""
-    return options.read_file(Bundle, path, check_together)
+    return options.read_file(Bundle, path, check_consistency)
 
 
 def parse(table: dict[str, Any], report: findings.Report) -> Bundle | findings.Rejected:
     """Check `table` as a bundle."""
-    return options.read_table(Bundle, table, report, check_together)
+    return options.read_table(Bundle, table, report, check_consistency)
 
 
-def check_together(bundle: Bundle, report: findings.Report) -> None:
+def check_consistency(bundle: Bundle, report: findings.Report) -> None:
     """Report what is wrong between entries that are right alone."""
     check_names("classes", bundle.classes, report)
     check_names("services", bundle.services, report)
@@ -160,7 +160,7 @@
         seen.add(entry.name)
 
 
-def canonical(bundle: Bundle) -> bytes:
+def canonical_body(bundle: Bundle) -> bytes:
     """Return the one byte form of `bundle` that is digested and signed."""
     return msgspec.json.encode(attrs.asdict(bundle), order="sorted")
 
--- a/ferrydeck/signed/core/daemon_core.py
+++ b/ferrydeck/signed/core/daemon_core.py
@@ -341,7 +341,7 @@
             receiver=self.identity.incarnation,
             bundle=self.rollout.version,
             sent=now,
-            body=codec.EMPTY,
+            body=codec.EMPTY_BODY,
         )
 
 
--- a/ferrydeck/signed/core/idempotency.py
+++ b/ferrydeck/signed/core/idempotency.py
@@ -135,7 +135,7 @@
             caller=forward.caller,
             fingerprint=keys.fingerprint(forward.method, forward.path, forward.body),
             state=keys.KeyState.PENDING,
-            expires_at=now + bundle.kept_s,
+            expires_at=now + bundle.key_retention_s,
             jobs=[job],
         )
         if self.table.count >= bundle.once.max_keys:
--- a/ferrydeck/signed/core/intake.py
+++ b/ferrydeck/signed/core/intake.py
@@ -150,7 +150,7 @@
         self._evict_resend_records(now)
         record = self.resend_records.get(resend_key(call))
         if record is None:
-            until = now + self.ctx.active.bundle.kept_s
+            until = now + self.ctx.active.bundle.key_retention_s
             self.resend_records[resend_key(call)] = ResendRecord(
                 allowance=call.allowance, expires=until
             )
--- a/ferrydeck/signed/core/keys.py
+++ b/ferrydeck/signed/core/keys.py
@@ -52,7 +52,7 @@
 
 def shard_of(key: str) -> int:
     """Return the shard of a key."""
-    return hashes.hash64(key) % bundles.SHARDS
+    return hashes.hash64(key) % bundles.SHARD_COUNT
 
 
 def fingerprint(method: str, path: str, body: bytes) -> int:
--- a/ferrydeck/signed/core/shard_records.py
+++ b/ferrydeck/signed/core/shard_records.py
@@ -184,10 +184,10 @@
     """
     if not boxes:
         return {}
-    max_shards = -(-bundles.SHARDS // len(boxes))
+    max_shards = -(-bundles.SHARD_COUNT // len(boxes))
     free_slots = dict.fromkeys(boxes, max_shards)
     assigned = {}
-    for shard in range(bundles.SHARDS):
+    for shard in range(bundles.SHARD_COUNT):
         free = [box for box in boxes if free_slots[box]]
         best = max(free, key=lambda box: hashes.hash64(f"{service}/{shard}/{box}"))
         assigned[shard] = best
--- a/ferrydeck/signed/core/shards.py
+++ b/ferrydeck/signed/core/shards.py
@@ -142,7 +142,7 @@
         if not self.ctx.leaving and self.lease.valid(now):
             boxes.append(self.own_box)
         assigned = shard_records.assign_shards(self.service, tuple(sorted(boxes)))
-        for shard in range(bundles.SHARDS):
+        for shard in range(bundles.SHARD_COUNT):
             if shard in self.owned:
                 self._rebalance_owned(now, shard, assigned.get(shard, ""))
             elif assigned.get(shard) == self.own_box:
--- a/ferrydeck/signed/net/driver.py
+++ b/ferrydeck/signed/net/driver.py
@@ -34,7 +34,7 @@
     """One daemon's loop: sockets and timers round a `daemon_core.Core`."""
 
     channel = "driver"
-    settle_gc_s = 3.0
+    gc_freeze_delay_s = 3.0
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.cfg = cfg
         self.trail = trail
         self.metrics = metrics.Metrics()
-        self.stop_limit_at: float | None = None
+        self.stop_deadline: float | None = None
         """When a stop no longer waits for its work; time of `clock.now`."""
         self._sweep_at = 0.0
         self._servers: list[http_server.HttpServer] = []
@@ -79,8 +79,8 @@
 
     def leave(self, *, end: bool, reason: str) -> None:
         """Begin to leave; with `end` the process ends when its work is done."""
-        if end and self.stop_limit_at is None:
-            self.stop_limit_at = clock.now() + self.cfg.stop_limit_s
+        if end and self.stop_deadline is None:
+            self.stop_deadline = clock.now() + self.cfg.stop_limit_s
         self.feed(events.StopAsked(end=end, reason=reason))
         if not end:
             return
@@ -124,7 +124,7 @@
                 poller=poller,
                 channel="target",
                 address=cfg.target.address,
-                limit=TARGET_CONNECTIONS,
+                max_connections=TARGET_CONNECTIONS,
                 listener=self._target_answered,
             )
             self.target.register(self)
@@ -150,7 +150,7 @@
         server.register(self)
         self._servers.append(server)
 
-    def carry_out(self, effect: effects.Effect) -> None:
+    def execute(self, effect: effects.Effect) -> None:
         """Do what the core asks for."""
         match effect:
             case effects.SendPeer():
@@ -185,7 +185,7 @@
             case effects.Audit(action=action, detail=detail):
                 self.trail.add(action, detail)
             case effects.Ended():
-                self.end_at = clock.now() + FLUSH_S
+                self.exit_at = clock.now() + FLUSH_S
 
     def _send_peer(self, effect: effects.SendPeer) -> None:
         if isinstance(effect.message, links.CALL_MESSAGES):
@@ -227,7 +227,7 @@
                 )
             case http_client.More(ticket=ticket, data=data):
                 self.feed(events.TargetPart(dispatch=ticket, data=data))
-            case request_client.Lost(ticket=ticket, sent=sent, detail=detail):
+            case request_client.RequestFailed(ticket=ticket, sent=sent, detail=detail):
                 reason = LOST_REASONS.get(detail, messages.Reason.TARGET_LOST)
                 self.feed(
                     events.TargetFailed(dispatch=ticket, sent=sent, reason=reason)
@@ -242,7 +242,7 @@
             self.peers.sweep(now)
             self.links.sweep(now)
             self._count_peer_faults()
-        self.settle_collector(now)
+        self.freeze_startup_objects(now)
         self._end_if_done(now)
 
     def _count_peer_faults(self) -> None:
@@ -254,9 +254,9 @@
                 self.metrics.count("peer_messages_dropped", fault)
 
     def _end_if_done(self, now: float) -> None:
-        if self.end_at is not None and now >= self.end_at:
+        if self.exit_at is not None and now >= self.exit_at:
             self._end()
-        elif self.stop_limit_at is not None and now >= self.stop_limit_at:
+        elif self.stop_deadline is not None and now >= self.stop_deadline:
             in_flight = len(self.core.forwarder.attempts.by_conn) + len(
                 self.core.serving.jobs
             )
--- a/ferrydeck/signed/net/http_server.py
+++ b/ferrydeck/signed/net/http_server.py
@@ -59,8 +59,8 @@
         self.local = local
         self.feed = feed
         self.by_call: dict[int, CallerConn] = {}
-        self.listening: socket.socket | None = sockets.listener(ip, port)
-        self.poller.serve(self.listening, self.on_read, self.on_write)
+        self.listening: socket.socket | None = sockets.open_listener(ip, port)
+        self.poller.watch(self.listening, self.on_read, self.on_write)
 
     def stop_listening(self) -> None:
         """Take no new connection; those there are, or wait to be taken, go on.
@@ -71,19 +71,19 @@
         if self.listening is None:
             return
         self.listening.listen(0)
-        self.other_readable(self.listening)
-        self.poller.leave(self.listening)
+        self.listener_readable(self.listening)
+        self.poller.unwatch(self.listening)
         self.listening.close()
         self.listening = None
 
-    def other_readable(self, source: object) -> None:
+    def listener_readable(self, source: object) -> None:
         """Take the connections that wait."""
         if source is not self.listening:
             return
-        for sock, _ in sockets.accept_all(self.listening):
-            self.adopt(CallerConn(sock=sock))
+        for sock, _ in sockets.accept_pending(self.listening):
+            self.add_conn(CallerConn(sock=sock))
 
-    def data_read(self, conn: CallerConn, data: bytes) -> None:
+    def data_received(self, conn: CallerConn, data: bytes) -> None:
         """Read a request, or buffer it while another one is answered."""
         conn.inbuf += data
         if not conn.call:
@@ -128,13 +128,13 @@
         conn = self.by_call.get(call)
         if conn is not None:
             self._finish(conn)
-            self.shut(conn)
+            self.close_conn(conn)
 
     def drained(self, conn: CallerConn) -> None:
         """Ask for the next parts once the last ones are out."""
         self._report_passed(conn)
 
-    def ended(self, conn: CallerConn) -> None:
+    def connection_lost(self, conn: CallerConn) -> None:
         """Report a caller that went away before its answer was out."""
         if conn.call:
             call = conn.call
@@ -181,7 +181,7 @@
             del conn.inbuf[:2]
         end = conn.inbuf.find(http.END_OF_HEAD)
         if end < 0:
-            if len(conn.inbuf) > http.MAX_HEAD:
+            if len(conn.inbuf) > http.MAX_HEAD_BYTES:
                 self._reject(conn, http.Malformed(status=431, detail="head too long"))
             return False
         end += len(http.END_OF_HEAD)
--- a/ferrydeck/signed/net/links.py
+++ b/ferrydeck/signed/net/links.py
@@ -51,7 +51,7 @@
 class Links(frame_links.FrameLinks):
     """Sends and receives the messages of calls."""
 
-    longest = codec.MAX_MESSAGE
+    max_frame_bytes = codec.MAX_MESSAGE_BYTES
 
     def __init__(
         self,
@@ -91,13 +91,13 @@
         """Close the links that nothing was sent on for long."""
         for link in list(self.out.values()):
             if now - link.used > IDLE_S and not link.outbuf:
-                self.shut(link)
+                self.close_conn(link)
 
     def link_accepted(self, sock: socket.socket) -> None:
         """Read a link that another daemon made."""
-        self.adopt(Link(sock=sock, connected=True))
+        self.add_conn(Link(sock=sock, connected=True))
 
-    def link_made(self, link: Link) -> None:
+    def link_connected(self, link: Link) -> None:
         """Send what waited for the connection."""
         waiting, link.waiting = link.waiting, []
         for effect in waiting:
@@ -113,7 +113,7 @@
             self._remember(link, received.envelope)
         self.feed(events.PeerReceived(received=received))
 
-    def ended(self, link: Link) -> None:
+    def connection_lost(self, link: Link) -> None:
         """Report what was not sent, and that what was sent may have arrived."""
         if self.out.get(link.address) is link:
             del self.out[link.address]
@@ -130,7 +130,7 @@
             return None
         link = Link(sock=sock, address=effect.address, used=clock.now())
         self.out[effect.address] = link
-        self.adopt(link)
+        self.add_conn(link)
         self.await_writable(link)
         return link
 
@@ -138,7 +138,7 @@
         frame = self.encode(effect)
         self.bytes_out += len(frame)
         link.used = clock.now()
-        self.send(link, frame_links.LENGTH.pack(len(frame)) + frame)
+        self.send(link, frame_links.LENGTH_PREFIX.pack(len(frame)) + frame)
 
     def _blocked(self, effect: effects.SendPeer) -> None:
         self.feed(events.PeerBlocked(box=effect.box, message=effect.message))
--- a/ferrydeck/signed/net/peers.py
+++ b/ferrydeck/signed/net/peers.py
@@ -76,11 +76,11 @@
         self.bytes_in = 0
         self.inbox = pynng.Pull0(
             listen=f"tcp://{self.address}",
-            recv_max_size=codec.MAX_MESSAGE,
+            recv_max_size=codec.MAX_MESSAGE_BYTES,
             recv_buffer_size=BUFFERED,
         )
         self.fd = self.inbox.recv_fd
-        self.poller.serve(self.fd, self.on_read, self.on_read)
+        self.poller.watch(self.fd, self.on_read, self.on_read)
 
     def on_read(self, source: object) -> None:
         """Read the messages that are there."""
@@ -141,7 +141,7 @@
 
     def close(self) -> None:
         """Close all sockets."""
-        self.poller.leave(self.fd)
+        self.poller.unwatch(self.fd)
         self.inbox.close()
         for link in self.links.values():
             link.sock.close()
--- a/ferrydeck/signed/net/platform_client.py
+++ b/ferrydeck/signed/net/platform_client.py
@@ -95,7 +95,10 @@
         self.timeout_s = timeout_s
         self.feed = feed
         self.api = api_client.ApiClient(
-            poller=poller, channel="platform", address=address, limit=CONNECTIONS
+            poller=poller,
+            channel="platform",
+            address=address,
+            max_connections=CONNECTIONS,
         )
 
     def ask(self, request: platform.Request) -> None:
@@ -104,7 +107,7 @@
         self.api.send(
             to_http(request),
             timeout_s=self.timeout_s + wait_s,
-            answered=functools.partial(self._answered, request),
+            on_result=functools.partial(self._answered, request),
         )
 
     def _answered(self, request: platform.Request, answer: api_client.Result) -> None:
--- a/ferrydeck/signed/settings.py
+++ b/ferrydeck/signed/settings.py
@@ -93,7 +93,7 @@
 
 def load(path: str) -> Settings | findings.Rejected:
     """Read and check the settings file at `path`."""
-    return options.read_file(Settings, path, check_together)
+    return options.read_file(Settings, path, check_consistency)
 
 
 def ports_of(cfg: Settings) -> list[tuple[str, int]]:
@@ -109,7 +109,7 @@
     return found
 
 
-def check_together(cfg: Settings, report: findings.Report) -> None:
+def check_consistency(cfg: Settings, report: findings.Report) -> None:
     """Report what is wrong between keys that are right alone."""
     used: dict[int, str] = {}
     for place, port in ports_of(cfg):
--- a/ferrydeck/signed/signing.py
+++ b/ferrydeck/signed/signing.py
@@ -111,7 +111,7 @@
     bundle = bundles.parse(table, report)
     if isinstance(bundle, findings.Rejected):
         return bundle
-    if bundles.canonical(bundle) != signed.body.encode():
+    if bundles.canonical_body(bundle) != signed.body.encode():
         return rejected(name, "body", "not in canonical form")
     return Verified(signed=signed, bundle=bundle, raw=raw, signers=signers)
 
--- a/ferrydeck/signed/wire/codec.py
+++ b/ferrydeck/signed/wire/codec.py
@@ -9,11 +9,11 @@
 
 from ferrydeck.signed.wire import messages
 
-MAX_MESSAGE = 24 * 1024 * 1024
+MAX_MESSAGE_BYTES = 24 * 1024 * 1024
 """The longest message that is decoded, bytes."""
 
 KINDS = {cls.__name__: cls for cls in typing.get_args(messages.Message)}
-EMPTY = msgspec.Raw(b"")
+EMPTY_BODY = msgspec.Raw(b"")
 """The body of an envelope that never crosses the network."""
 
 _encoder = msgspec.msgpack.Encoder()
@@ -66,7 +66,7 @@
 
 def decode(data: bytes, *, cluster: str) -> Received | Undecodable:
     """Return the message in `data`, or what is wrong with it."""
-    if len(data) > MAX_MESSAGE:
+    if len(data) > MAX_MESSAGE_BYTES:
         return Undecodable(fault="too-long", detail=f"{len(data)} bytes")
     try:
         envelope = _envelopes.decode(data)
--- a/ferrydeck/standins/target.py
+++ b/ferrydeck/standins/target.py
@@ -82,7 +82,7 @@
                 poller=self.poller,
                 channel="local",
                 address=local,
-                limit=LOCAL_CONNECTIONS,
+                max_connections=LOCAL_CONNECTIONS,
                 listener=self._heard,
             )
             self.local.register(self)
@@ -183,7 +183,7 @@
         work = self.tickets.pop(event.ticket, None)
         if work is None or work.ended:
             return
-        failed = isinstance(event, request_client.Lost) or event.status != 200
+        failed = isinstance(event, request_client.RequestFailed) or event.status != 200
         if failed:
             self.answer(work.req.call, 502, {"nested": "failed"})
             self._end(work)
--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -17,7 +17,7 @@
 import circuits
 from hdrh import histogram
 
-from ferrydeck.net import collector, http_client, request_client
+from ferrydeck.net import gc_tuning, http_client, request_client
 from ferrydeck.net import poller as pollers
 from ferrydeck.standins import fleet, sample
 
@@ -41,7 +41,7 @@
             poller=poller,
             channel="client",
             address=address,
-            limit=CONNECTIONS * 20,
+            max_connections=CONNECTIONS * 20,
             listener=self.heard,
         )
         self.client.register(self)
@@ -64,7 +64,7 @@
         """Record an answer."""
         self.answered += 1
         due = self.due[event.ticket - 1]
-        if isinstance(event, request_client.Lost) or event.status != 200:
+        if isinstance(event, request_client.RequestFailed) or event.status != 200:
             self.failed += 1
         elif due > self.warm_until:
             self.micros.record_value(int((time.monotonic() - due) * 1e6))
@@ -159,7 +159,7 @@
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--json", action="store_true")
     args = parser.parse_args()
-    collector.settle()
+    gc_tuning.freeze_startup_objects()
     with (
         tempfile.TemporaryDirectory() as folder,
         fleet.Fleet(pathlib.Path(folder), data_centres=["north"]) as mesh,
--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -80,7 +80,7 @@
     assert isinstance(verified, signing.Verified), verified
     assert verified.digest == held["digest"]
     assert signing.encode(verified.signed) == raw
-    assert bundles.canonical(verified.bundle) == verified.signed.body.encode()
+    assert bundles.canonical_body(verified.bundle) == verified.signed.body.encode()
 
 
 def test_records_of_shards_are_read_and_written_as_they_are():
--- a/tests/net/test_api_client.py
+++ b/tests/net/test_api_client.py
@@ -23,14 +23,17 @@
         self.results: list[api_client.Result] = []
         host, port = self.listening.getsockname()
         self.client = api_client.ApiClient(
-            poller=self.poller, channel="api", address=f"{host}:{port}", limit=8
+            poller=self.poller,
+            channel="api",
+            address=f"{host}:{port}",
+            max_connections=8,
         )
 
     def call(self) -> None:
         self.client.send(
             api_client.Call(method="GET", path="/a"),
             timeout_s=TIMEOUT_S,
-            answered=self.results.append,
+            on_result=self.results.append,
         )
 
     def accept(self) -> socket.socket:
--- a/tests/net/test_frame_links.py
+++ b/tests/net/test_frame_links.py
@@ -12,7 +12,7 @@
 class Links(frame_links.FrameLinks):
     """Links that keep the frames they read; the first one may raise."""
 
-    longest = 100
+    max_frame_bytes = 100
 
     def __init__(self) -> None:
         super().__init__(
@@ -44,18 +44,18 @@
 
 
 def framed(*frames: bytes) -> bytes:
-    return b"".join(frame_links.LENGTH.pack(len(one)) + one for one in frames)
+    return b"".join(frame_links.LENGTH_PREFIX.pack(len(one)) + one for one in frames)
 
 
 def test_frames_are_read_whole_however_the_bytes_come(links, link):
     for byte in framed(b"one", b"", b"three"):
-        links.data_read(link, bytes([byte]))
+        links.data_received(link, bytes([byte]))
     assert links.read == [b"one", b"", b"three"]
 
 
 def test_a_frame_whose_handler_raised_is_not_read_again(links, link):
     links.raises = True
     with pytest.raises(RuntimeError):
-        links.data_read(link, framed(b"one", b"two"))
-    links.data_read(link, framed(b"three"))
+        links.data_received(link, framed(b"one", b"two"))
+    links.data_received(link, framed(b"three"))
     assert links.read == [b"one", b"two", b"three"]
--- a/tests/net/test_target_client.py
+++ b/tests/net/test_target_client.py
@@ -106,7 +106,7 @@
     bench.forget(second)
     bench.request()
     lost = bench.heard[-1]
-    assert isinstance(lost, request_client.Lost)
+    assert isinstance(lost, request_client.RequestFailed)
     assert lost.sent
     bench.request()
     third = bench.accept()
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -116,25 +116,25 @@
 
 
 def test_the_era_of_an_answer_is_read():
-    assert kv.era([("store-era", "12"), ("content-length", "2")]) == 12
-    assert kv.era([("content-length", "2")]) == 0
+    assert kv.read_era([("store-era", "12"), ("content-length", "2")]) == 12
+    assert kv.read_era([("content-length", "2")]) == 0
 
 
 @pytest.mark.parametrize("stated", ["", "-1", "1.5", "new", "\u0663", "9" * 40])
 def test_an_era_that_is_no_number_is_rejected(stated):
     with pytest.raises(ValueError, match="no era"):
-        kv.era([("store-era", stated)])
+        kv.read_era([("store-era", stated)])
 
 
 @pytest.mark.parametrize(("text", "value"), [("1500ms", 1.5), ("2.5s", 2.5)])
 def test_times_carry_their_unit(text, value):
-    assert units.seconds(text) == value
+    assert units.parse_duration(text) == value
 
 
 @pytest.mark.parametrize("text", ["15", "", "ms", "1.2.3s", "-5s", None, 5])
 def test_other_times_are_refused(text):
     with pytest.raises(ValueError):
-        units.seconds(text)
+        units.parse_duration(text)
 
 
 def test_fields_of_a_request_are_read_and_those_of_one_hop_dropped():
@@ -156,7 +156,7 @@
 
 @pytest.mark.parametrize("stated", ["abc", "-5", "1.5", "9" * 20])
 def test_a_deadline_that_is_no_number_is_a_fault(stated):
-    assert headers.read_request([("x-deadline-ms", stated)]).deadline_fault
+    assert headers.read_request([("x-deadline-ms", stated)]).invalid_deadline
 
 
 def test_a_server_is_told_id_time_lifetime_and_calling_service():
@@ -171,7 +171,7 @@
         caller="desk",
         left_s=0.25,
     )
-    told = dict(headers.for_target(dispatch))
+    told = dict(headers.target_fields(dispatch))
     assert told == {
         "host": "h",
         "x-attempt-id": "abc",
@@ -189,8 +189,8 @@
 
 
 def test_an_answer_of_another_request_is_known():
-    assert headers.answers("abc", [("x-attempt-id", "abc")])
-    assert not headers.answers("abc", [("x-attempt-id", "abd")])
+    assert headers.matches_request("abc", [("x-attempt-id", "abc")])
+    assert not headers.matches_request("abc", [("x-attempt-id", "abd")])
 
 
 def test_reports_are_read():
--- a/tests/platform/test_teams.py
+++ b/tests/platform/test_teams.py
@@ -112,7 +112,7 @@
 
 def test_two_keys_are_a_fault():
     fields = [("x-api-key", SECRET), ("x-api-key", SECRET)]
-    assert headers.read_request(fields, teams=True).key_fault
+    assert headers.read_request(fields, teams=True).multiple_keys
 
 
 @pytest.mark.parametrize(("team", "told"), [("farm", "farm"), ("", None)])
@@ -129,7 +129,7 @@
         left_s=0.25,
         team=team,
     )
-    assert dict(headers.for_target(dispatch)).get("x-tenant") == told
+    assert dict(headers.target_fields(dispatch)).get("x-tenant") == told
 
 
 def test_revocation_is_strict_only_where_that_was_agreed():
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -99,14 +99,14 @@
 
 def test_the_canonical_form_is_read_back_to_the_same_bundle():
     bundle = worlds.bundle_of(sample.bundle_toml())
-    signed = signing.SignedBundle(body=bundles.canonical(bundle).decode())
+    signed = signing.SignedBundle(body=bundles.canonical_body(bundle).decode())
     verified = signing.verify(signing.encode(signed), signers=(), needed=0, name="test")
     assert verified.bundle == bundle
-    assert verified.digest == bundles.digest_of(bundles.canonical(bundle))
+    assert verified.digest == bundles.digest_of(bundles.canonical_body(bundle))
 
 
 def test_a_body_that_is_not_canonical_is_refused():
-    body = bundles.canonical(worlds.bundle_of(worlds.LEDGER)).decode()
+    body = bundles.canonical_body(worlds.bundle_of(worlds.LEDGER)).decode()
     signed = signing.SignedBundle(body=body.replace(":", ": "))
     rejected = signing.verify(signing.encode(signed), signers=(), needed=0, name="test")
     assert keys_of(rejected) == ["body"]
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -41,24 +41,24 @@
     ],
 )
 def test_what_hops_could_read_differently_is_refused(text):
-    assert request(text, chunks=True) == http.Malformed(
-        status=400, detail=request(text, chunks=True).detail
+    assert request(text, allow_chunked=True) == http.Malformed(
+        status=400, detail=request(text, allow_chunked=True).detail
     )
 
 
 def test_chunks_with_a_length_are_refused():
     text = "POST /a HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
-    assert request(text, chunks=True).status == 400
+    assert request(text, allow_chunked=True).status == 400
 
 
 def test_another_coding_than_chunked_is_refused():
     text = "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"
-    assert request(text, chunks=True).status == 400
+    assert request(text, allow_chunked=True).status == 400
 
 
 def test_a_body_over_the_limit_is_refused():
     text = "POST /a HTTP/1.1\r\nContent-Length: 50\r\n\r\n"
-    assert request(text, most=49).status == 413
+    assert request(text, max_body_bytes=49).status == 413
 
 
 def test_an_answer_without_length_ends_with_its_connection():
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -62,7 +62,7 @@
         made.add_box(f"{name}-ledger", name, service="payments-ledger", slots=4)
     made.run(3)
     owned = [len(box.core.shard_owner.owned) for box in made.boxes.values()]
-    assert sum(owned) == bundles.SHARDS, owned
+    assert sum(owned) == bundles.SHARD_COUNT, owned
     return made
 
 
