--- a/ferrydeck/mesh/net/target_client.py
+++ b/ferrydeck/mesh/net/target_client.py
@@ -322,7 +322,7 @@
 def request_bytes(method: str, path: str, fields: http.Fields, body: bytes) -> bytes:
     """Return the bytes of a request to the target; `fields` have its host."""
     lines = [f"{method} {path} HTTP/1.1"]
-    lines += [f"{name}: {http.clean(value)}" for name, value in fields]
+    lines += [f"{name}: {http.sanitize_value(value)}" for name, value in fields]
     if body or method not in ("GET", "HEAD", "DELETE"):
         lines.append(f"content-length: {len(body)}")
     head = "\r\n".join(lines) + "\r\n\r\n"
--- a/ferrydeck/net/http.py
+++ b/ferrydeck/net/http.py
@@ -1,7 +1,7 @@
-"""The heads of HTTP/1.1 messages: parsing and writing them, for both programs.
+"""Parsing and serialization of HTTP/1.1 message heads.
 
-Relies on the regular expressions of `circuits.web` for the grammar and is stricter than
-it where hops could read a message differently. Owns no state and no socket.
+Uses the grammar of `circuits.web` and rejects ambiguous messages, which other hops
+could parse differently (request smuggling). Stateless.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from circuits.web.parsers import http as parsers
 
 Fields = list[tuple[str, str]]
-"""Header fields, names in lower case, in the order in which they stand."""
+"""Header fields in message order, with lower-case names."""
 
 END_OF_HEAD = b"\r\n\r\n"
 MAX_HEAD_BYTES = 32 * 1024
-"""The longest head that is read, bytes."""
+"""Maximum length of a head, bytes."""
 MAX_BODY_BYTES = 16 * 1024 * 1024
-"""The longest request body that is read, bytes."""
+"""Default maximum length of a request body, bytes."""
 VERSIONS = ("HTTP/1.0", "HTTP/1.1")
-FRAMING = ("content-length", "transfer-encoding", "host")
-"""Fields that must not come twice: hops would read the message differently."""
+UNIQUE_FIELDS = ("content-length", "transfer-encoding", "host")
+"""Fields that must not be repeated, as duplicates make a message ambiguous."""
 NO_BODY_STATUSES = frozenset({204, 304})
-UNCLEAR_LINES = re.compile(rb"(?<!\r)\n|\r(?!\n)|\r\n[ \t]")
-"""Line ends that hops read differently: a bare one, or a line that is folded."""
-PHRASES = {one.value: one.phrase for one in http.HTTPStatus}
+AMBIGUOUS_LINES = re.compile(rb"(?<!\r)\n|\r(?!\n)|\r\n[ \t]")
+"""Bare CR or LF and folded lines, which hops may parse differently."""
+REASON_PHRASES = {status.value: status.phrase for status in http.HTTPStatus}
 CHUNKED = -1
-"""The length of a body in chunks."""
+"""Length value of a chunked body."""
 UNTIL_CLOSE = -2
-"""The length of a body that ends with its connection."""
+"""Length value of a body that is delimited by the end of the connection."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestHead:
-    """The head of a request; `length` is `CHUNKED` for a body in chunks."""
+    """The head of a request; `length` may be `CHUNKED`."""
 
     method: str
     path: str
@@ -57,49 +57,49 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Malformed:
-    """Bytes that are no HTTP that is served here, and the status to answer."""
+    """An invalid or unsupported message, with the status to respond with."""
 
     status: int
     detail: str
 
 
-class BadHead(ValueError):
-    """A head that can't be read."""
+class MalformedHead(ValueError):
+    """The head is malformed."""
 
 
 def read_request(
     head: bytes, *, allow_chunked: bool = False, max_body_bytes: int = MAX_BODY_BYTES
 ) -> RequestHead | Malformed:
-    """Read the head of a request, its end included.
+    """Parse the head of a request, including the final empty line.
 
-    `chunks` takes bodies in chunks, `most` is the longest body taken, bytes.
+    `allow_chunked` accepts chunked bodies; `max_body_bytes` limits stated lengths.
     """
     try:
-        line, fields = split_head(head)
-        method, path, version = request_line(line)
-        named = single_fields(fields)
-    except BadHead as exc:
+        line, fields = parse_head(head)
+        method, path, version = parse_request_line(line)
+        named = fields_by_name(fields)
+    except MalformedHead as exc:
         return Malformed(status=400, detail=str(exc))
     coding = named.get("transfer-encoding")
     if coding is not None and not allow_chunked:
-        return Malformed(status=411, detail="a body needs a length")
-    length = length_of(named.get("content-length"))
+        return Malformed(status=411, detail="Content-Length required")
+    length = parse_length(named.get("content-length"))
     if length is None:
-        return Malformed(status=400, detail="bad content-length")
+        return Malformed(status=400, detail="invalid Content-Length")
     if coding is not None:
         if coding.lower() != "chunked" or "content-length" in named:
-            return Malformed(status=400, detail="a body of unclear length")
+            return Malformed(status=400, detail="invalid Transfer-Encoding")
         length = CHUNKED
     if length > max_body_bytes:
         return Malformed(status=413, detail="body too large")
     if not path.startswith("/") or path.startswith("//"):
-        return Malformed(status=400, detail="the target of a request is a path")
+        return Malformed(status=400, detail="request target is not a path")
     return RequestHead(
         method=method,
         path=path,
         fields=fields,
         length=length,
-        keep_alive=keeps_alive(named, version),
+        keep_alive=is_keep_alive(named, version),
         expects_continue=named.get("expect", "").lower() == "100-continue",
     )
 
@@ -107,92 +107,91 @@
 def read_response(
     head: bytes, *, until_close: bool = False
 ) -> ResponseHead | Malformed:
-    """Read the head of a response, its end included.
+    """Parse the head of a response, including the final empty line.
 
-    `until_close` takes a body without a length, which ends with its connection.
+    `until_close` accepts a body that is delimited by the end of the connection.
     """
     try:
-        line, fields = split_head(head)
-        status, version = status_line(line)
-        named = single_fields(fields)
-    except BadHead as exc:
+        line, fields = parse_head(head)
+        status, version = parse_status_line(line)
+        named = fields_by_name(fields)
+    except MalformedHead as exc:
         return Malformed(status=502, detail=str(exc))
     coding = named.get("transfer-encoding")
     stated = named.get("content-length")
-    length = 0 if status in NO_BODY_STATUSES else length_of(stated)
+    length = 0 if status in NO_BODY_STATUSES else parse_length(stated)
     if coding is not None:
         if coding.lower() != "chunked" or stated is not None:
-            return Malformed(status=502, detail="bad transfer-encoding")
+            return Malformed(status=502, detail="invalid Transfer-Encoding")
         length = CHUNKED
     unstated = stated is coding is None and status not in NO_BODY_STATUSES
     if unstated and until_close:
         length = UNTIL_CLOSE
     elif length is None or unstated:
-        return Malformed(status=502, detail="an answer needs its length")
+        return Malformed(status=502, detail="response has no valid Content-Length")
     return ResponseHead(
         status=status,
         fields=fields,
         length=length,
-        keep_alive=keeps_alive(named, version),
+        keep_alive=is_keep_alive(named, version),
     )
 
 
-def split_head(head: bytes) -> tuple[str, Fields]:
-    """Return the first line of a head and its fields, names in lower case.
+def parse_head(head: bytes) -> tuple[str, Fields]:
+    """Return the start line and the fields of a head; raises `MalformedHead`.
 
-    Raises `BadHead`. The grammar is that of circuits.web's parser; its own
-    reading of a head takes four times as long and reads escapes in it.
+    Faster than the parser of circuits.web and without its unquoting of escapes.
     """
-    if UNCLEAR_LINES.search(head):
-        raise BadHead("a bare line end or a folded line")
+    if AMBIGUOUS_LINES.search(head):
+        raise MalformedHead("bare CR or LF, or folded header line")
     if b"\0" in head:
-        raise BadHead("a zero byte in the head")
+        raise MalformedHead("null byte in the head")
     lines = head[: -len(END_OF_HEAD)].decode("latin-1").split("\r\n")
     fields = []
     for line in lines[1:]:
         name, colon, value = line.partition(":")
         if not colon or not name or parsers.HEADER_RE.search(name):
-            raise BadHead(f"invalid header line {line[:40]!r}")
+            raise MalformedHead(f"invalid header line {line[:40]!r}")
         fields.append((name.lower(), value.strip(" \t")))
     return lines[0], fields
 
 
-def request_line(line: str) -> tuple[str, str, str]:
-    """Return the method, the path and the version; raises `BadHead`."""
+def parse_request_line(line: str) -> tuple[str, str, str]:
+    """Return method, path and version; raises `MalformedHead`."""
     parts = line.split(" ")
     if len(parts) != 3 or not parts[1]:
-        raise BadHead("invalid request line")
+        raise MalformedHead("invalid request line")
     method, path, version = parts
     if version not in VERSIONS or not parsers.METHOD_RE.match(method):
-        raise BadHead("invalid method or version")
+        raise MalformedHead("invalid method or version")
     if "#" in path:
-        raise BadHead("a fragment in the path")
+        raise MalformedHead("request target contains a fragment")
     return method, path, version
 
 
-def status_line(line: str) -> tuple[int, str]:
-    """Return the status and the version; raises `BadHead`."""
+def parse_status_line(line: str) -> tuple[int, str]:
+    """Parse a status line into status and version; raises `MalformedHead`."""
     version, _, rest = line.partition(" ")
     code = rest[:3]
     if version not in VERSIONS or not (code.isascii() and code.isdigit()):
-        raise BadHead("invalid status line")
+        raise MalformedHead("invalid status line")
     if len(code) != 3 or rest[3:4] not in ("", " "):
-        raise BadHead("invalid status line")
+        raise MalformedHead("invalid status line")
     return int(code), version
 
 
-def single_fields(fields: Fields) -> dict[str, str]:
-    """Return the fields by name; raises `BadHead` for two that frame a body."""
+def fields_by_name(fields: Fields) -> dict[str, str]:
+    """Return the fields by name; raises `MalformedHead` for a repeated one."""
     named = dict(fields)
     if len(named) != len(fields):
-        for name in FRAMING:
-            if sum(one == name for one, _ in fields) > 1:
-                raise BadHead(f"two fields {name}")
+        for name in UNIQUE_FIELDS:
+            if sum(field == name for field, _ in fields) > 1:
+                raise MalformedHead(f"duplicate header field {name}")
     return named
 
 
-def keeps_alive(named: dict[str, str], version: str) -> bool:
-    """Return whether a connection may serve a further request."""
+def is_keep_alive(named: dict[str, str], version: str) -> bool:
+    """Return whether the connection is persistent."""
     listed = named.get("connection", "").lower()
     if "close" in listed:
         return False
@@ -200,7 +199,7 @@
 
 
 def read_chunked(data: bytes) -> bytes | None:
-    """Return the body of a chunked message that is whole, else `None`."""
+    """Decode a chunked body; return `None` if it is incomplete."""
     body = bytearray()
     position = 0
     while True:
@@ -217,8 +216,8 @@
         position = start + size + 2
 
 
-def length_of(stated: str | None) -> int | None:
-    """Return the stated length, 0 for none, `None` for one that is no number."""
+def parse_length(stated: str | None) -> int | None:
+    """Parse a Content-Length value: 0 if absent, `None` if invalid."""
     if stated is None:
         return 0
     if not (stated.isascii() and stated.isdigit() and len(stated) < 16):
@@ -227,9 +226,9 @@
 
 
 def response_head(status: int, fields: Fields, length: int, *, close: bool) -> bytes:
-    """Return the bytes of a response head; no length is stated below 0."""
-    lines = [f"HTTP/1.1 {status} {PHRASES.get(status, 'Status')}"]
-    lines += [f"{name}: {clean(value)}" for name, value in fields]
+    """Serialize a response head; a negative length omits Content-Length."""
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Status')}"]
+    lines += [f"{name}: {sanitize_value(value)}" for name, value in fields]
     if status not in NO_BODY_STATUSES and length >= 0:
         lines.append(f"content-length: {length}")
     lines.append("connection: close\r\n\r\n" if close else "\r\n")
@@ -239,15 +238,15 @@
 def request_head(
     method: str, path: str, host: str, fields: Fields, length: int
 ) -> bytes:
-    """Return the bytes of a request head."""
+    """Serialize a request head."""
     lines = [f"{method} {path} HTTP/1.1", f"host: {host}"]
-    lines += [f"{name}: {clean(value)}" for name, value in fields]
+    lines += [f"{name}: {sanitize_value(value)}" for name, value in fields]
     lines.append(f"content-length: {length}\r\n\r\n")
     return "\r\n".join(lines).encode("latin-1", "replace")
 
 
-def clean(value: str) -> str:
-    """Return a field value without line ends."""
+def sanitize_value(value: str) -> str:
+    """Replace CR and LF in a field value, to prevent header injection."""
     if "\r" in value or "\n" in value:
         return value.replace("\r", " ").replace("\n", " ")
     return value
--- a/ferrydeck/net/request_client.py
+++ b/ferrydeck/net/request_client.py
@@ -98,7 +98,7 @@
         """Give up the requests whose deadline is past, but for long answers."""
         for conn in list(self.by_ticket.values()):
             if now >= conn.deadline and not conn.streaming:
-                self._fail_request(conn, "no answer in time")
+                self._fail_request(conn, "request timed out")
 
     def writable(self, conn: Any) -> bool:
         """Finish a connect; the request that waited for it goes out then."""
--- a/ferrydeck/signed/daemon.py
+++ b/ferrydeck/signed/daemon.py
@@ -47,15 +47,15 @@
     incarnation = clock.wall_ns() // 1000
     app = circuits.Component(channel="app")
     poller = pollers.Poller().register(app)
-    trail = audit.Trail(box=cfg.box, incarnation=incarnation)
+    audit_trail = audit.Trail(box=cfg.box, incarnation=incarnation)
     core = make_core(cfg, incarnation)
-    drv = driver.Driver(cfg=cfg, core=core, poller=poller, trail=trail)
+    drv = driver.Driver(cfg=cfg, core=core, poller=poller, audit_trail=audit_trail)
     drv.register(app)
     admin.open_admin(drv, cfg.ip, cfg.admin.port)
-    trail.add("started", f"incarnation {incarnation}")
+    audit_trail.add("started", f"incarnation {incarnation}")
     drv.start_core()
     app.run()
-    trail.add("ended", "process ends")
+    audit_trail.add("ended", "process ends")
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/ferrydeck/signed/net/admin.py
+++ b/ferrydeck/signed/net/admin.py
@@ -119,7 +119,7 @@
     def audit(self) -> bytes:
         """Return the audit trail, one JSON object a line."""
         self.response.headers["Content-Type"] = "application/jsonl"
-        lines = [msgspec.json.encode(entry) for entry in self.drv.trail.entries]
+        lines = [msgspec.json.encode(entry) for entry in self.drv.audit_trail.entries]
         return b"\n".join(lines) + b"\n"
 
     def drain(self) -> str:
--- a/ferrydeck/signed/net/driver.py
+++ b/ferrydeck/signed/net/driver.py
@@ -1,7 +1,7 @@
-"""The driver of `ferrydeckd`: sockets and timers round its core.
+"""The driver of `ferrydeckd`: connects the core to sockets and timers.
 
 Owns the endpoints, the links, the clients of the target and of the platform, and the
-metrics; relies on the core for every decision.
+metrics; the core makes all decisions.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 log = logbook.Logger(__name__)
 
-FLUSH_S = 0.25
-"""Time for the last messages to leave before the process ends, seconds."""
-SWEEP_EVERY_S = 1.0
-"""How often idle links are looked for and faults counted, seconds."""
-TARGET_CONNECTIONS = 4096
-"""Connections to the target at most; the admission limit holds it lower."""
-LOST_REASONS = {
-    "no answer in time": messages.Reason.NO_ANSWER,
+EXIT_DELAY_S = 0.25
+"""Time to send the last messages before the process exits, seconds."""
+SWEEP_INTERVAL_S = 1.0
+"""Time between checks for idle links and updates of fault counters, seconds."""
+MAX_TARGET_CONNECTIONS = 4096
+"""Maximum of connections to the target; the admission limit is usually lower."""
+REASONS_BY_DETAIL = {
+    "request timed out": messages.Reason.NO_ANSWER,
 }
-"""Reasons that differ from `TARGET_LOST`, by the detail of the loss."""
+"""Reasons by detail of a failed request; `TARGET_LOST` for any other."""
 
 
 class Driver(core_driver.CoreDriver):
-    """One daemon's loop: sockets and timers round a `daemon_core.Core`."""
+    """Runs a `daemon_core.Core` on the event loop."""
 
     channel = "driver"
     gc_freeze_delay_s = 3.0
@@ -42,14 +42,14 @@
         cfg: settings.Settings,
         core: daemon_core.Core,
         poller: poller.Poller,
-        trail: audit.Trail,
+        audit_trail: audit.Trail,
     ) -> None:
         super().__init__(core=core)
         self.cfg = cfg
-        self.trail = trail
+        self.audit_trail = audit_trail
         self.metrics = metrics.Metrics()
         self.stop_deadline: float | None = None
-        """When a stop no longer waits for its work; time of `clock.now`."""
+        """When a stop no longer waits for running requests; time of `clock.now`."""
         self._sweep_at = 0.0
         self._servers: list[http_server.HttpServer] = []
         self._open(poller)
@@ -69,16 +69,16 @@
             event.reduce_time_left(max(0.0, wake - clock.now()))
 
     def stop_signalled(self, signo: int) -> None:
-        """Leave, and end the process when its work is done."""
+        """Leave the cluster and exit when all requests are done."""
         self.leave(end=True, reason=f"signal {signo}")
 
     def exception_raised(self, name: str, value: object, trace: str) -> None:
-        """Count and log an exception of a handler."""
+        """Count and log an exception raised by a handler."""
         self.metrics.count("exceptions", name)
         log.error("a handler raised {!r}: {}", value, trace)
 
     def leave(self, *, end: bool, reason: str) -> None:
-        """Begin to leave; with `end` the process ends when its work is done."""
+        """Start to leave the cluster; `end` exits when all requests are done."""
         if end and self.stop_deadline is None:
             self.stop_deadline = clock.now() + self.cfg.stop_limit_s
         self.feed(events.StopAsked(end=end, reason=reason))
@@ -124,7 +124,7 @@
                 poller=poller,
                 channel="target",
                 address=cfg.target.address,
-                max_connections=TARGET_CONNECTIONS,
+                max_connections=MAX_TARGET_CONNECTIONS,
                 listener=self._target_answered,
             )
             self.target.register(self)
@@ -151,7 +151,7 @@
         self._servers.append(server)
 
     def execute(self, effect: effects.Effect) -> None:
-        """Do what the core asks for."""
+        """Execute an effect that the core requested."""
         match effect:
             case effects.SendPeer():
                 self._send_peer(effect)
@@ -170,10 +170,10 @@
             case effects.CancelTarget(dispatch=dispatch):
                 self.target.cancel(dispatch)
             case _:
-                self._carry_out_rare(effect)
+                self._execute_other(effect)
 
-    def _carry_out_rare(self, effect: effects.Effect) -> None:
-        """Do what belongs to no plain call."""
+    def _execute_other(self, effect: effects.Effect) -> None:
+        """Execute the less frequent effects."""
         match effect:
             case effects.AbortCaller(conn=call):
                 for server in self._servers:
@@ -183,9 +183,9 @@
             case effects.ForgetPeer(box=box):
                 self.peers.forget(box)
             case effects.Audit(action=action, detail=detail):
-                self.trail.add(action, detail)
+                self.audit_trail.add(action, detail)
             case effects.Ended():
-                self.exit_at = clock.now() + FLUSH_S
+                self.exit_at = clock.now() + EXIT_DELAY_S
 
     def _send_peer(self, effect: effects.SendPeer) -> None:
         if isinstance(effect.message, links.CALL_MESSAGES):
@@ -228,7 +228,7 @@
             case http_client.More(ticket=ticket, data=data):
                 self.feed(events.TargetPart(dispatch=ticket, data=data))
             case request_client.RequestFailed(ticket=ticket, sent=sent, detail=detail):
-                reason = LOST_REASONS.get(detail, messages.Reason.TARGET_LOST)
+                reason = REASONS_BY_DETAIL.get(detail, messages.Reason.TARGET_LOST)
                 self.feed(
                     events.TargetFailed(dispatch=ticket, sent=sent, reason=reason)
                 )
@@ -238,7 +238,7 @@
         if self.target is not None:
             self.target.expire(now)
         if now >= self._sweep_at:
-            self._sweep_at = now + SWEEP_EVERY_S
+            self._sweep_at = now + SWEEP_INTERVAL_S
             self.peers.sweep(now)
             self.links.sweep(now)
             self._count_peer_faults()
@@ -261,10 +261,10 @@
                 self.core.serving.jobs
             )
             detail = (
-                f"stop limit of {self.cfg.stop_limit_s:g} s: {in_flight} requests cut, "
+                f"stop limit of {self.cfg.stop_limit_s:g} s: {in_flight} calls lost, "
                 f"{len(self.core.shard_owner.owned)} shards not handed over"
             )
-            self.trail.add("cut-off", detail)
+            self.audit_trail.add("cut-off", detail)
             self.metrics.count("cut_off", "stop-limit")
             self._end()
 
--- a/ferrydeck/signed/wire/messages.py
+++ b/ferrydeck/signed/wire/messages.py
@@ -1,4 +1,4 @@
-"""The messages between daemons."""
+"""Messages exchanged between daemons."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 PROTOCOL = 1
 TOP_LEVEL = 8 * 1024 - 1
-"""The admission level that lets every call in; see `core/priority.py`."""
+"""The admission level that admits every call; see `core/priority.py`."""
 
 
 class Reason(enum.StrEnum):
-    """Why an attempt was refused before it started, or why its fate is not known."""
+    """Why an attempt was refused before it ran, or why its outcome is unknown."""
 
     OVERLOAD = "overload"
     EXPIRED = "expired"
@@ -44,7 +44,7 @@
 
 
 class State(enum.StrEnum):
-    """The record of a box, by the box itself."""
+    """State that a box announces in its member record."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -52,7 +52,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Header:
-    """One HTTP header field, its name in lower case."""
+    """An HTTP header field with a lower-case name."""
 
     name: str
     value: str
@@ -60,21 +60,21 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Load:
-    """How a target's daemon stands, as announced with each answer."""
+    """Load of a target, reported by its daemon with each answer."""
 
     running: int = 0
     queued: int = 0
     limit: int = 0
     service_ms: float = 0.0
     level: int = TOP_LEVEL
-    """The admission level: a call of a higher priority number is refused."""
+    """Admission level: calls with a higher priority number are refused."""
     path_level: int = TOP_LEVEL
-    """The same for the path of the call answered, by what is refused below it."""
+    """Admission level of the call's path, learned from refusals of nested calls."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ShardClaim:
-    """A shard that a box owns, and the epoch of that ownership."""
+    """A shard that a box owns, with the ownership epoch."""
 
     shard: int
     epoch: int
@@ -82,14 +82,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Member:
-    """The record of a box, by itself; a higher `sequence` replaces a lower one."""
+    """The member record of a box; a higher `sequence` replaces a lower one."""
 
     box: str
     incarnation: int
     sequence: int
     address: str
     call_address: str
-    """Where the messages of calls go; all others go to `address`."""
+    """Address for call messages; all other messages go to `address`."""
     data_centre: str
     region: str
     service: str
@@ -99,7 +99,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Forward:
-    """A call for the target of the receiving box."""
+    """A call forwarded to the target of the receiving box."""
 
     attempt: int
     service: str
@@ -113,7 +113,7 @@
     allowance: int
     remaining_ms: float
     age_ms: float
-    """Time since the entry daemon of the caller's sending took the call."""
+    """Time since the entry daemon received the call from the caller."""
     once: bool = False
     key: str = ""
     caller: str = ""
@@ -121,21 +121,21 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Cancel:
-    """The sender gave the attempt up; it must not start from now on."""
+    """Cancels an attempt that has not started yet."""
 
     attempt: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Answer:
-    """The target's answer: all of it, or its head and first part."""
+    """The target's answer: complete, or its head and the first part of the body."""
 
     attempt: int
     status: int
     headers: tuple[Header, ...]
     body: bytes
     total: int
-    """Length of the whole body, bytes."""
+    """Length of the complete body, bytes."""
     unused: int
     load: Load
     replayed: bool = False
@@ -143,7 +143,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Part:
-    """A further part of a long body, at its offset."""
+    """A subsequent part of a streamed body."""
 
     attempt: int
     offset: int
@@ -152,7 +152,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Credit:
-    """The receiver of a long body has passed on so many parts."""
+    """Flow control: the receiver of a streamed body can accept more parts."""
 
     attempt: int
     parts: int = 1
@@ -160,14 +160,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Broken:
-    """A long body ends here, before its length."""
+    """Aborts a streamed body before its end."""
 
     attempt: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Refused:
-    """The attempt did not start and never will."""
+    """The attempt was refused and will not run."""
 
     attempt: int
     reason: Reason
@@ -179,7 +179,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Uncertain:
-    """The attempt, or an earlier sending of its key, may have run."""
+    """The attempt, or an earlier one with the same key, may have run."""
 
     attempt: int
     reason: Reason
@@ -189,16 +189,16 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Hello:
-    """A member record, sent when it changes or when the receiver may not know it."""
+    """Announces a member record that changed or may be unknown to the receiver."""
 
     member: Member
     relay: bool = False
-    """Whether a receiver to which it is news passes it on."""
+    """Whether a receiver that did not know the record relays it."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Digest:
-    """A summary of what the sender knows, to find differences."""
+    """A digest of the sender's member records for anti-entropy."""
 
     members: int
     answer_wanted: bool = False
@@ -206,12 +206,12 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class KnownMember:
-    """A member record, and how long the sender has received nothing from the box."""
+    """A member record with the time since the sender last heard from the box."""
 
     member: Member
     silent_s: float
     listed_leaving: bool = False
-    """Whether the platform's list has turned this incarnation to leaving."""
+    """Whether the platform lists this incarnation as leaving."""
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -223,19 +223,19 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class BundleAsk:
-    """Ask for the signed bundle that the receiver has in force."""
+    """Requests the signed bundle that is active at the receiver."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class BundleGive:
-    """A signed bundle."""
+    """Carries a signed bundle."""
 
     raw: bytes
 
 
 @attrs.define(kw_only=True, frozen=True)
 class KeyEntry:
-    """What an owner remembers of one key, as handed to its successor."""
+    """The stored state of an idempotency key, transferred with its shard."""
 
     key: str
     caller: str
@@ -250,23 +250,23 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ShardHand:
-    """The table of a shard, on its way to the next owner."""
+    """A part of a shard's key table, sent to the next owner."""
 
     service: str
     shard: int
     epoch: int
     sending: int
-    """Number of this sending of the table; parts of two sendings don't mix."""
+    """Number of this transfer; parts of different transfers are not combined."""
     part: int
     parts: int
     entries: tuple[KeyEntry, ...]
     quarantine_ms: float = 0.0
-    """What is left of the sender's own quarantine."""
+    """Remaining quarantine of the sender."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class ShardTaken:
-    """The receiver of a table holds all of it; `holder` names it in records."""
+    """Confirms a complete transfer; `holder` is the receiver's name in records."""
 
     service: str
     shard: int
@@ -277,7 +277,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ShardYours:
-    """The record of a shard names the receiver now."""
+    """Tells the receiver that the shard's record names it as the owner."""
 
     service: str
     shard: int
@@ -287,7 +287,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ListedLeaving:
-    """The platform's list has turned a box to leaving."""
+    """The platform lists a box as leaving."""
 
     box: str
     incarnation: int
@@ -316,7 +316,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Envelope:
-    """What stands round every message."""
+    """The envelope of every message."""
 
     protocol: int
     cluster: str
@@ -325,9 +325,9 @@
     incarnation: int
     address: str
     receiver: int
-    """Incarnation that the message is for; 0 where the sender knows none yet."""
+    """Incarnation of the addressed daemon; 0 if unknown to the sender."""
     bundle: int
-    """Version of the bundle in force at the sender; 0 for none."""
+    """Version of the sender's active bundle; 0 for none."""
     sent: float
-    """The sender's monotonic clock, seconds."""
+    """Send time by the sender's monotonic clock, seconds."""
     body: msgspec.Raw
