--- a/ferrydeck/mesh/__init__.py
+++ b/ferrydeck/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of a daemon whose policy and members come from the platform's store."""
+"""The `ferrydeck-meshd` daemon, which reads policy and members from a store."""
--- a/ferrydeck/mesh/net/__init__.py
+++ b/ferrydeck/mesh/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets round the core of `ferrydeck-meshd`."""
+"""Network I/O of `ferrydeck-meshd`."""
--- a/ferrydeck/mesh/net/bodies.py
+++ b/ferrydeck/mesh/net/bodies.py
@@ -1,7 +1,4 @@
-"""The bodies of HTTP messages, taken out of a buffer piece by piece.
-
-Owns how far one body was read; shared by the endpoints and the client of the target.
-"""
+"""Incremental reader of HTTP message bodies, shared by server and client."""
 
 from __future__ import annotations
 
@@ -12,11 +9,11 @@
 from ferrydeck.net import http
 
 MAX_CHUNK_LINE_BYTES = 1024
-"""The longest line that states the size of a chunk, bytes."""
+"""Longest chunk-size or trailer line, bytes."""
 
 
 class BadBody(ValueError):
-    """Bytes that are no body in chunks."""
+    """Invalid chunked encoding."""
 
 
 class _State(enum.Enum):
@@ -28,10 +25,10 @@
 
 @attrs.define(kw_only=True)
 class BodyReader:
-    """Takes one body out of a buffer: by length, by chunks, or until the end."""
+    """Reads one body from a buffer: by length, chunked, or until the end."""
 
     length: int
-    """Length, bytes; or `http.CHUNKED` or `http.UNTIL_CLOSE`."""
+    """Length in bytes, `http.CHUNKED` or `http.UNTIL_CLOSE`."""
     done: bool = False
     _left: int = 0
     _state: _State = _State.SIZE
@@ -41,10 +38,10 @@
             self._left = self.length
             self.done = self.length == 0
 
-    def take(self, buffer: bytearray) -> bytes:
-        """Remove what belongs to the body from the buffer; return its bytes.
+    def read(self, buffer: bytearray) -> bytes:
+        """Remove bytes of the body from the buffer and return them, decoded.
 
-        Raises `BadBody` for chunks that can't be read.
+        Raises `BadBody` for invalid chunks.
         """
         if self.done:
             return b""
@@ -53,16 +50,16 @@
             buffer.clear()
             return data
         if self.length >= 0:
-            return self._take_data(buffer)
-        return self._take_chunks(buffer)
+            return self._read_data(buffer)
+        return self._read_chunks(buffer)
 
-    def ended(self) -> bool:
-        """Act on the end of the connection; return whether the body is whole."""
+    def connection_closed(self) -> bool:
+        """Handle the end of the connection; return whether the body is complete."""
         if self.length == http.UNTIL_CLOSE:
             self.done = True
         return self.done
 
-    def _take_data(self, buffer: bytearray) -> bytes:
+    def _read_data(self, buffer: bytearray) -> bytes:
         data = bytes(buffer[: self._left])
         del buffer[: self._left]
         self._left -= len(data)
@@ -70,27 +67,27 @@
             self.done = True
         return data
 
-    def _take_chunks(self, buffer: bytearray) -> bytes:
+    def _read_chunks(self, buffer: bytearray) -> bytes:
         out = bytearray()
         while not self.done:
             match self._state:
                 case _State.DATA:
-                    data = self._take_data(buffer)
+                    data = self._read_data(buffer)
                     out += data
                     if self._left:
                         break
                     self._state = _State.DATA_END
                 case _:
-                    line = self._line(buffer)
+                    line = self._next_line(buffer)
                     if line is None:
                         break
-                    self._take_line(line)
+                    self._process_line(line)
         return bytes(out)
 
-    def _take_line(self, line: bytes) -> None:
+    def _process_line(self, line: bytes) -> None:
         match self._state:
             case _State.SIZE:
-                self._left = self._size(line)
+                self._left = self._parse_size(line)
                 self._state = _State.DATA if self._left else _State.TRAILER
             case _State.DATA_END:
                 if line:
@@ -99,13 +96,13 @@
             case _State.TRAILER:
                 self.done = not line
 
-    def _size(self, line: bytes) -> int:
+    def _parse_size(self, line: bytes) -> int:
         text = line.partition(b";")[0].strip()
         if not text or len(text) > 15 or text.strip(b"0123456789abcdefABCDEF"):
             raise BadBody("a chunk without a size")
         return int(text, 16)
 
-    def _line(self, buffer: bytearray) -> bytes | None:
+    def _next_line(self, buffer: bytearray) -> bytes | None:
         end = buffer.find(b"\r\n")
         if end < 0:
             if len(buffer) > MAX_CHUNK_LINE_BYTES:
--- a/ferrydeck/mesh/net/deflate.py
+++ b/ferrydeck/mesh/net/deflate.py
@@ -1,8 +1,7 @@
-"""Frames of one link, compressed against the frames before them.
+"""Compression of the frames of a link with a shared deflate window.
 
-Most of a small request is the same from one to the next: field names, the host, names
-of routes and services, the start of an id. Each direction of a link owns its state,
-which both ends share, since frames come whole and in order.
+Consecutive small requests repeat header names, hosts, routes and services. Each
+direction of a link has its own window, kept in sync because frames arrive in order.
 """
 
 from __future__ import annotations
@@ -10,20 +9,19 @@
 import zlib
 
 WINDOW_BITS = 12
-"""Size of the state, as a power of two: 4 KB, some ten messages of small requests."""
+"""Base-2 logarithm of the window size: 4 KB, about ten small requests."""
 MEMORY_LEVEL = 5
-"""With the window this makes 32 KB for a sender and 4 KB for a receiver."""
+"""zlib memory level; with the window, 32 KB per sender and 4 KB per receiver."""
 COMPRESSION_LEVEL = 1
-"""The quickest; higher ones save 2 in 100 of these frames' bytes more."""
+"""zlib compression level: the fastest."""
 MAX_FRAME_BYTES = 64 * 1024
-"""Frames above this are sent as they are, bytes: long bodies share nothing with other
-frames and would push them out of the state."""
+"""Longer frames are sent uncompressed, as long bodies would displace the window."""
 SYNC_FLUSH_TAIL = b"\x00\x00\xff\xff"
-"""What each flush ends with; it is left out on the wire."""
+"""Trailing bytes of each sync flush, omitted on the wire."""
 
 
 class Deflater:
-    """The sender's side of one direction."""
+    """Compresses the frames of one direction."""
 
     def __init__(self) -> None:
         self._state = zlib.compressobj(
@@ -31,19 +29,19 @@
         )
 
     def pack(self, frame: bytes) -> bytes:
-        """Return a frame compressed."""
+        """Return the compressed frame."""
         packed = self._state.compress(frame) + self._state.flush(zlib.Z_SYNC_FLUSH)
         return packed.removesuffix(SYNC_FLUSH_TAIL)
 
 
 class Inflater:
-    """The receiver's side of one direction."""
+    """Decompresses the frames of one direction."""
 
     def __init__(self) -> None:
         self._state = zlib.decompressobj(-WINDOW_BITS)
 
     def unpack(self, packed: bytes) -> bytes:
-        """Return a frame as it was; raises `ValueError` for anything else."""
+        """Return the decompressed frame; raises `ValueError` if it is invalid."""
         try:
             frame = self._state.decompress(
                 packed + SYNC_FLUSH_TAIL, MAX_FRAME_BYTES + 1
@@ -51,5 +49,5 @@
         except zlib.error as exc:
             raise ValueError(str(exc)) from exc
         if len(frame) > MAX_FRAME_BYTES or self._state.unconsumed_tail:
-            raise ValueError("a compressed frame is too long")
+            raise ValueError("decompressed frame exceeds the maximum size")
         return frame
--- a/ferrydeck/mesh/net/driver.py
+++ b/ferrydeck/mesh/net/driver.py
@@ -1,7 +1,7 @@
-"""The driver of `ferrydeck-meshd`: sockets, timers and signals round its core.
+"""I/O driver of `ferrydeck-meshd`: sockets, timers and signals around the core.
 
-Owns the endpoints, the links, the clients of the target and of the store, the metrics
-and the log of decisions; relies on the core for every decision on a request.
+Owns the endpoints, the links, the clients for target and store, the metrics and the
+decision log; the core makes all decisions about requests.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from ferrydeck.platform import manifest
 
 SWEEP_INTERVAL_S = 0.1
-"""How often timeouts of connections are looked at, seconds."""
+"""Interval at which connection timeouts are checked, seconds."""
 EXIT_FLUSH_S = 0.1
-"""Time for the last bytes to leave before the process ends, seconds."""
+"""Time to flush sockets before the process exits, seconds."""
 
 
 class Driver(core_driver.CoreDriver):
-    """One daemon's loop: feeds events to a `core.Core`, carries out its effects."""
+    """Event loop of a daemon: feeds events to the core and carries out its effects."""
 
     channel = "driver"
     gc_freeze_delay_s = 2.0
@@ -40,7 +40,7 @@
         super().__init__(core=core)
         self.cfg = cfg
         self.path = path
-        """Where the settings are read again."""
+        """Settings file, read again at a reload."""
         self.output = output
         self.metrics = metrics.Metrics()
         self.decisions = decision_log.DecisionLog(
@@ -55,7 +55,7 @@
         poller.run_due = self.run_due_work
 
     def log_decision(self, kind: str, outcome: str = "", **inputs: object) -> None:
-        """Log and count what the driver itself decides."""
+        """Log and count a decision of the driver itself."""
         self._log_decision(effects.Decision(kind=kind, outcome=outcome, inputs=inputs))
 
     @circuits.handler("generate_events")
@@ -63,7 +63,7 @@
         event.reduce_time_left(self.run_due_work())
 
     def run_due_work(self) -> float:
-        """Do what is due; return the time until more is, seconds."""
+        """Run due work; return the seconds until more work is due."""
         now = clock.now()
         if self._reload_due:
             self._reload()
@@ -77,19 +77,19 @@
         return max(0.0, until - clock.now())
 
     def stop_signalled(self, signo: int) -> None:
-        """Have the core stop; it asks for the end of the process."""
+        """Tell the core to shut down; it requests the exit of the process."""
         self.feed(events.StopRequested())
 
     def reload_signalled(self, signo: int, stack: object) -> None:
-        """Read the settings again in the next round of the loop."""
+        """Schedule a reload of the settings for the next loop iteration."""
         self._reload_due = True
 
     def exception_raised(self, name: str, value: object, trace: str) -> None:
-        """Log and count an exception of a handler."""
+        """Log and count an exception in a handler."""
         self.log_decision("exception", name, detail=repr(value), trace=trace)
 
     def execute(self, effect: effects.Effect) -> None:
-        """Do what the core asks for."""
+        """Carry out an effect of the core."""
         match effect:
             case effects.Decision():
                 self._log_decision(effect)
@@ -117,7 +117,7 @@
                 self._carry_out_control(effect)
 
     def _carry_out_control(self, effect: effects.Effect) -> None:
-        """Do what belongs to no request."""
+        """Carry out an effect that concerns no single request."""
         match effect:
             case effects.Dial(address=address):
                 self.links.dial(address)
@@ -192,7 +192,7 @@
         )
 
     def _reload(self) -> None:
-        """Read the settings again; what can change while the process runs is taken."""
+        """Read the settings again and apply those that can change at run time."""
         self._reload_due = False
         cfg = settings.load(self.path)
         if isinstance(cfg, findings.Rejected):
--- a/ferrydeck/mesh/net/endpoints.py
+++ b/ferrydeck/mesh/net/endpoints.py
@@ -1,8 +1,7 @@
-"""The HTTP endpoints of `ferrydeck-meshd`: requests, heartbeats, readiness, metrics.
+"""HTTP endpoints of `ferrydeck-meshd`: requests, heartbeats, readiness and metrics.
 
-Owns the four listening addresses and the ids of the requests that are open; turns what
-comes in into events of the core, and the core's answers into HTTP, with the forms that
-`platform` reads and makes.
+Owns the four listeners and the ids of open requests; translates HTTP requests into
+events of the core and its effects into HTTP answers, in the formats of `platform`.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 
 class Endpoints:
-    """Takes requests of all four kinds and writes their answers."""
+    """Serves the four HTTP endpoints of the daemon."""
 
     def __init__(
         self,
@@ -41,24 +40,26 @@
         self.log_decision = log_decision
         self.render_metrics = render_metrics
         self.limits = ingress.Limits()
-        """What callers may send; the others that connect here keep the usual limits."""
+        """Limits on callers, set by the policy; other endpoints keep the defaults."""
         self._request_ids: dict[int, str] = {}
-        """Ids of open requests by their number at the ingress."""
-        usual = ingress.Limits()
+        """Ids of open requests, by connection number."""
+        default_limits = ingress.Limits()
         metrics = f"{cfg.ip}:{cfg.metrics_port}"
         self.requests = self._open("calls", cfg.calls, self.limits, self._request)
-        self.heartbeats = self._open("reports", cfg.reports, usual, self._heartbeat)
-        self.ready = self._open("ready", cfg.ready, usual, self._ready)
-        self.metrics = self._open("metrics", metrics, usual, self._scrape)
+        self.heartbeats = self._open(
+            "reports", cfg.reports, default_limits, self._heartbeat
+        )
+        self.ready = self._open("ready", cfg.ready, default_limits, self._ready)
+        self.metrics = self._open("metrics", metrics, default_limits, self._scrape)
         self.all = (self.requests, self.heartbeats, self.ready, self.metrics)
 
     def register(self, parent: circuits.BaseComponent) -> None:
-        """Register all endpoints with the loop of `parent`."""
+        """Register all endpoints with the event loop of `parent`."""
         for endpoint in self.all:
             endpoint.register(parent)
 
     def reply(self, effect: effects.Reply) -> None:
-        """Write the answer to a request, or the head and first part of a long one."""
+        """Write an answer, or the head and first part of a streamed one."""
         self._request_ids.pop(effect.conn, None)
         self.requests.reply(
             effect.conn,
@@ -70,7 +71,7 @@
         )
 
     def reject(self, effect: effects.Reject) -> None:
-        """Answer a request that has not run, or of which that is not known."""
+        """Answer a request that did not run, or for which this is unknown."""
         request_id = self._request_ids.pop(effect.conn, "")
         fields = headers.rejection_fields(request_id, effect.retry_after_s)
         outcome = "not-run" if effect.retry_after_s is not None else "unknown"
@@ -83,18 +84,18 @@
         self.requests.abort(conn)
 
     def acknowledge_heartbeat(self, conn: int, accepted: bool) -> None:
-        """Answer a heartbeat: 200 if it was taken, else 503."""
+        """Answer a heartbeat: 200 if it was accepted, else 503."""
         self.heartbeats.reply(conn, 200 if accepted else 503, [], b"")
 
     def use_limits(self, effect: effects.SetCallerLimits) -> None:
-        """Apply what the policy allows callers from now on."""
+        """Apply the limits of the active policy to callers."""
         self.limits.head_bytes = effect.head_bytes
         self.limits.body_bytes = effect.body_bytes
         self.limits.head_s = effect.head_s
         self.limits.idle_s = effect.idle_s
 
     def sweep(self, now: float) -> None:
-        """Close the connections whose time is over."""
+        """Enforce the connection timeouts of all endpoints."""
         for endpoint in self.all:
             endpoint.sweep(now)
 
--- a/ferrydeck/mesh/net/ingress.py
+++ b/ferrydeck/mesh/net/ingress.py
@@ -1,8 +1,8 @@
-"""One HTTP endpoint of `ferrydeck-meshd`: its connections, requests and answers.
+"""HTTP/1.1 server for one endpoint of `ferrydeck-meshd`.
 
-One request a connection at a time: bytes that come before the answer is out wait, so
-that an answer can't reach another request. Owns the connections and the bodies that are
-being read; relies on the driver to call `sweep`, which ends what takes too long.
+Serves one request at a time per connection: pipelined bytes are buffered until the
+answer is sent. Owns the connections and the buffered request bodies; the driver calls
+`sweep` to enforce timeouts.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from ferrydeck.net import http, poller, sockets
 
 MAX_READ_AHEAD_BYTES = 256 * 1024
-"""Bytes of further requests that are read ahead while one is answered."""
+"""Bytes of pipelined requests that are buffered per connection."""
 MAX_BUFFERED_BYTES = 96 * 1024 * 1024
-"""Bytes of request bodies that are buffered at once: a third of a small box's RAM."""
+"""Total size of buffered request bodies: a third of the RAM of a small box."""
 LOW_WATER_BYTES = 128 * 1024
-"""Unsent bytes below which more of a long answer is asked for."""
+"""Unsent bytes below which more of a streamed answer is requested."""
 LAST_CHUNK = b"0\r\n\r\n"
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Linger on, for no time: the caller sees a reset and not the end of its answer."""
+"""SO_LINGER with a zero timeout: the caller sees a reset, not a regular close."""
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 _numbers = itertools.count(1)
@@ -34,49 +34,49 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Request:
-    """A whole request."""
+    """A complete request."""
 
     conn: int
     head: http.RequestHead
     body: bytes
     source: str
-    """IP number of the caller."""
+    """IP address of the caller."""
 
 
 @attrs.define(kw_only=True)
 class Limits:
-    """What callers may send, and how long they may take or be idle."""
+    """Size limits and timeouts for callers."""
 
     head_bytes: int = http.MAX_HEAD_BYTES
     body_bytes: int = http.MAX_BODY_BYTES
     head_s: float = 3.0
-    """Time from the first byte of a head, or from the last of a body, seconds."""
+    """Timeout for a whole head, and between parts of a body, seconds."""
     idle_s: float = 15.0
-    """How long a connection may be idle between requests, seconds."""
+    """Idle timeout between requests, seconds."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class CallerConn(sockets.Conn):
-    """A caller's connection."""
+    """Connection of a caller."""
 
     source: str = ""
     head: http.RequestHead | None = None
     body: bytearray = attrs.Factory(bytearray)
     reader: bodies.BodyReader | None = None
-    number: int = 0
-    """The request that is being answered; 0 for none."""
-    keep: bool = True
-    """Whether the connection may serve a further request."""
+    request_number: int = 0
+    """Number of the request that is being answered; 0 if none."""
+    keep_alive: bool = True
+    """Whether the connection may serve another request."""
     streaming: bool = False
     chunked: bool = False
     unreported_bytes: int = 0
-    """Bytes of a long answer that were given and not reported as sent."""
-    since: float = 0.0
-    """When it was last idle, or had bytes of the request that is being read."""
+    """Bytes of a streamed answer that are not reported as sent yet."""
+    active_at: float = 0.0
+    """When it became idle, or last received bytes of the current request."""
 
 
 class Ingress(sockets.SocketComponent):
-    """Reads requests on one address, hands them on and writes their answers."""
+    """Accepts connections on one address, reads requests and writes answers."""
 
     def __init__(
         self,
@@ -104,16 +104,16 @@
         self.poller.watch(self.listening, self.on_read, self.on_write)
 
     def listener_readable(self, source: object) -> None:
-        """Take the connections that wait."""
+        """Accept pending connections."""
         for sock, ip in sockets.accept_pending(self.listening):
-            self.add_conn(CallerConn(sock=sock, source=ip, since=clock.now()))
+            self.add_conn(CallerConn(sock=sock, source=ip, active_at=clock.now()))
 
     def data_received(self, conn: CallerConn, data: bytes) -> None:
-        """Read a request, or buffer it while another one is answered."""
-        if not conn.number:
+        """Parse a request, or buffer it while another one is answered."""
+        if not conn.request_number:
             if not conn.inbuf and conn.head is None:
-                # The time for a head runs from its first byte on.
-                conn.since = clock.now()
+                # The timeout for the head starts at its first byte.
+                conn.active_at = clock.now()
             conn.inbuf += data
             self._dispatch_request(conn)
             return
@@ -131,15 +131,15 @@
         more: bool = False,
         total: int = -1,
     ) -> None:
-        """Write an answer, or the head and first part of a long one."""
+        """Write an answer, or the head and first part of a streamed one."""
         conn = self.by_number.get(number)
         if conn is None or conn.closed:
             return
-        conn.keep = conn.keep and conn.head.keep_alive and not self.closing
+        conn.keep_alive = conn.keep_alive and conn.head.keep_alive and not self.closing
         conn.streaming = more
         conn.chunked = more and total < 0
         head = self._head(conn, status, fields, len(body) if not more else total)
-        conn.close_when_sent = not more and not conn.keep
+        conn.close_when_sent = not more and not conn.keep_alive
         if not more:
             self._finish(conn)
             self.send(conn, head + body)
@@ -150,7 +150,7 @@
         self._report_sent(conn)
 
     def reply_part(self, number: int, data: bytes, *, last: bool) -> None:
-        """Write a further part of a long answer."""
+        """Write a further part of a streamed answer."""
         conn = self.by_number.get(number)
         if conn is None or conn.closed:
             return
@@ -158,7 +158,7 @@
         framed = self._framed(conn, data)
         if last:
             framed += LAST_CHUNK if conn.chunked else b""
-            conn.close_when_sent = not conn.keep
+            conn.close_when_sent = not conn.keep_alive
             self._finish(conn)
         self.send(conn, framed)
         if last:
@@ -167,7 +167,7 @@
             self._report_sent(conn)
 
     def abort(self, number: int) -> None:
-        """Reset the connection of an answer that can't be completed."""
+        """Reset the connection if its answer can't be completed."""
         conn = self.by_number.get(number)
         if conn is None:
             return
@@ -176,33 +176,33 @@
         self.close_conn(conn)
 
     def stop_keep_alive(self) -> None:
-        """Keep no connection for further requests; close those that are idle."""
+        """Disable keep-alive and close idle connections."""
         self.closing = True
         for conn in list(self.conns.values()):
-            if not conn.number and not conn.inbuf and conn.head is None:
+            if not conn.request_number and not conn.inbuf and conn.head is None:
                 self.close_conn(conn)
 
     def drained(self, conn: CallerConn) -> None:
-        """Ask for more of a long answer once the last part is out."""
+        """Request more of a streamed answer once the last part is sent."""
         self._report_sent(conn)
 
     def connection_lost(self, conn: CallerConn) -> None:
-        """Report a caller that went away before its answer was out."""
+        """Report a caller that disconnected before it had its answer."""
         self._drop_body(conn)
-        number = conn.number
+        number = conn.request_number
         if number:
             self._finish(conn)
             self.on_disconnect(number)
 
     def sweep(self, now: float) -> None:
-        """Close connections idle for too long, reject requests that stop midway."""
+        """Close idle connections and reject requests that arrive too slowly."""
         for conn in list(self.conns.values()):
-            if conn.number or conn.close_when_sent:
+            if conn.request_number or conn.close_when_sent:
                 continue
-            begun = conn.inbuf or conn.head is not None
-            if begun and now - conn.since > self.limits.head_s:
+            request_started = conn.inbuf or conn.head is not None
+            if request_started and now - conn.active_at > self.limits.head_s:
                 self._reject(conn, http.Malformed(status=408, detail="too slow"))
-            elif not begun and now - conn.since > self.limits.idle_s:
+            elif not request_started and now - conn.active_at > self.limits.idle_s:
                 self.close_conn(conn)
 
     def _after_response(self, conn: CallerConn) -> None:
@@ -215,7 +215,7 @@
         if conn.chunked:
             fields = [*fields, ("transfer-encoding", "chunked")]
             length = -1
-        return http.response_head(status, fields, length, close=not conn.keep)
+        return http.response_head(status, fields, length, close=not conn.keep_alive)
 
     def _framed(self, conn: CallerConn, data: bytes) -> bytes:
         if not conn.chunked or not data:
@@ -223,21 +223,25 @@
         return b"%x\r\n%s\r\n" % (len(data), data)
 
     def _report_sent(self, conn: CallerConn) -> None:
-        if not conn.streaming or not conn.number or len(conn.outbuf) > LOW_WATER_BYTES:
+        if (
+            not conn.streaming
+            or not conn.request_number
+            or len(conn.outbuf) > LOW_WATER_BYTES
+        ):
             return
         unreported_bytes, conn.unreported_bytes = conn.unreported_bytes, 0
         if unreported_bytes:
-            self.on_sent(conn.number, unreported_bytes)
+            self.on_sent(conn.request_number, unreported_bytes)
 
     def _finish(self, conn: CallerConn) -> None:
-        self.by_number.pop(conn.number, None)
+        self.by_number.pop(conn.request_number, None)
         self._drop_body(conn)
-        conn.number = 0
+        conn.request_number = 0
         conn.head = None
         conn.reader = None
         conn.streaming = False
         conn.unreported_bytes = 0
-        conn.since = clock.now()
+        conn.active_at = clock.now()
         self.resume_reading(conn)
 
     def _drop_body(self, conn: CallerConn) -> None:
@@ -245,18 +249,18 @@
         conn.body = bytearray()
 
     def _dispatch_request(self, conn: CallerConn) -> None:
-        """Hand on the request at the front of the buffer, once it is whole."""
+        """Pass on the first buffered request once it is complete."""
         if conn.close_when_sent or conn.closed:
             return
         if conn.head is None and not self._read_head(conn):
             return
         if not self._read_body(conn):
             return
-        conn.number = next(_numbers)
-        self.by_number[conn.number] = conn
+        conn.request_number = next(_numbers)
+        self.by_number[conn.request_number] = conn
         self.on_request(
             Request(
-                conn=conn.number,
+                conn=conn.request_number,
                 head=conn.head,
                 body=bytes(conn.body),
                 source=conn.source,
@@ -264,17 +268,17 @@
         )
 
     def _read_head(self, conn: CallerConn) -> bool:
-        """Read the next head; false where it is not whole or not usable."""
+        """Parse the next head; return false if it is incomplete or invalid."""
         while conn.inbuf[:2] == b"\r\n":
             del conn.inbuf[:2]
         if not conn.inbuf:
             return False
         end = conn.inbuf.find(http.END_OF_HEAD)
-        most = self.limits.head_bytes
+        max_bytes = self.limits.head_bytes
         if end < 0 and b"\n\n" in conn.inbuf:
             self._reject(conn, http.Malformed(status=400, detail="a bare line end"))
             return False
-        if end > most or (end < 0 and len(conn.inbuf) > most):
+        if end > max_bytes or (end < 0 and len(conn.inbuf) > max_bytes):
             self._reject(conn, http.Malformed(status=431, detail="head too long"))
             return False
         if end < 0:
@@ -296,16 +300,16 @@
         return not conn.closed
 
     def _read_body(self, conn: CallerConn) -> bool:
-        """Read more of the body; return whether it is whole."""
+        """Read more of the body; return whether it is complete."""
         try:
-            data = conn.reader.take(conn.inbuf)
+            data = conn.reader.read(conn.inbuf)
         except bodies.BadBody as exc:
             self._reject(conn, http.Malformed(status=400, detail=str(exc)))
             return False
         conn.body += data
         self.buffered += len(data)
         if data:
-            conn.since = clock.now()
+            conn.active_at = clock.now()
         if len(conn.body) > self.limits.body_bytes:
             self._reject(conn, http.Malformed(status=413, detail="body too large"))
             return False
@@ -315,7 +319,7 @@
         return conn.reader.done
 
     def _reject(self, conn: CallerConn, fault: http.Malformed) -> None:
-        """Answer what is no request and close: where the next begins isn't known."""
+        """Answer an invalid request and close the connection."""
         self.on_malformed(fault)
         body = f"not-run: {fault.detail}\n".encode("latin-1", "replace")
         conn.inbuf.clear()
--- a/ferrydeck/mesh/net/links.py
+++ b/ferrydeck/mesh/net/links.py
@@ -1,8 +1,8 @@
-"""The links between the daemons of `ferrydeck-meshd`: one TCP connection for each
-direction in which requests go, answers come back on it.
+"""Links between the daemons of `ferrydeck-meshd`.
 
-Owns the connections, their counters and the state of their compression; relies on the
-core to dial again what `OutgoingLinkDown` reports.
+A link is a TCP connection that carries requests in one direction and their answers in
+the other. Owns the connections and their compression state; the core reconnects after
+`OutgoingLinkDown`.
 """
 
 from __future__ import annotations
@@ -19,32 +19,31 @@
 from ferrydeck.net import frame_links, poller, sockets
 
 DEFLATED_FLAG = 1 << 31
-"""Set in the length of a frame that is compressed."""
+"""Flag in the length field of a compressed frame."""
 MAX_DEFLATED_LINKS = 128
-"""Links that are compressed at most: with 36 KB each they take 5 MB."""
+"""Maximum number of compressed links, at 36 KB of memory each."""
 MAX_MESSAGE_BYTES = 72 * 1024 * 1024
-"""The longest message, bytes: a request with the largest body of the platform."""
+"""Longest message: a request with the largest body that the platform allows."""
 MAX_UNSENT_BYTES = 8 * 1024 * 1024
-"""Unsent bytes on a link from which on it counts as lost."""
+"""Unsent bytes above which a link is closed."""
 ACK_TIMEOUT_MS = 3000
-"""How long sent bytes may stay unacknowledged until the kernel ends a connection,
-milliseconds."""
+"""TCP_USER_TIMEOUT of links, milliseconds."""
 
 _numbers = itertools.count(1)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Link(frame_links.Link):
-    """A connection with another daemon."""
+    """Connection to another daemon."""
 
     number: int = 0
-    """Number of an incoming one; 0 for one that was dialled."""
+    """Number of an incoming link; 0 for an outgoing one."""
     deflater: deflate.Deflater | None = None
     inflater: deflate.Inflater | None = None
 
 
 class Links(frame_links.FrameLinks):
-    """Dials, accepts and serves the links of one daemon."""
+    """Opens, accepts and serves the links of one daemon."""
 
     max_frame_bytes = MAX_MESSAGE_BYTES
     flags = DEFLATED_FLAG
@@ -60,12 +59,12 @@
         super().__init__(poller=poller, channel="links", ip=ip, port=port)
         self.feed = feed
         self.outgoing: dict[str, Link] = {}
-        """Links that were dialled, by their address."""
+        """Outgoing links by address."""
         self.incoming: dict[int, Link] = {}
-        """Links that other daemons dialled, by their number."""
+        """Incoming links by number."""
 
     def dial(self, address: str) -> None:
-        """Make a link; `OutgoingLinkUp` or `OutgoingLinkDown` follows."""
+        """Open a link; `OutgoingLinkUp` or `OutgoingLinkDown` follows."""
         sock = sockets.dial(address)
         if sock is None:
             self.feed(events.OutgoingLinkDown(address=address, was_up=False))
@@ -77,50 +76,50 @@
         self.await_writable(link)
 
     def close_link(self, address: str) -> None:
-        """Close a link that was dialled; no event follows."""
+        """Close an outgoing link; no event follows."""
         link = self.outgoing.pop(address, None)
         if link is not None:
             link.address = ""
             self.close_conn(link)
 
     def send_outgoing(self, address: str, message: messages.AnyMessage) -> None:
-        """Send a message on a link that was dialled."""
+        """Send a message on an outgoing link."""
         link = self.outgoing.get(address)
         if link is not None and link.connected:
             self._write(link, message)
 
     def send_incoming(self, number: int, message: messages.AnyMessage) -> None:
-        """Send a message on a link that another daemon dialled."""
+        """Send a message on an incoming link."""
         link = self.incoming.get(number)
         if link is not None:
             self._write(link, message)
 
     def deflate_outgoing(self, address: str) -> None:
-        """Compress what is sent from now on, on a link that was dialled."""
+        """Compress further messages on an outgoing link."""
         self._deflate(self.outgoing.get(address))
 
     def deflate_incoming(self, number: int) -> None:
-        """Compress what is sent from now on, on a link that another daemon dialled."""
+        """Compress further messages on an incoming link."""
         self._deflate(self.incoming.get(number))
 
     def link_accepted(self, sock: socket.socket) -> None:
-        """Read a link that another daemon made."""
+        """Register a link that another daemon opened."""
         set_ack_timeout(sock)
         link = Link(sock=sock, number=next(_numbers), connected=True)
         self.incoming[link.number] = link
         self.add_conn(link)
 
     def link_connected(self, link: Link) -> None:
-        """Report that a link stands that was dialled."""
+        """Report that an outgoing link is up."""
         if link.address:
             self.feed(events.OutgoingLinkUp(address=link.address))
 
     def frame_read(self, link: Link, frame: bytes, flags: int) -> None:
-        """Feed the message in a frame; one that can't be read ends the link."""
+        """Feed the message in a frame; an invalid frame closes the link."""
         try:
             message = messages.decode(self._inflated(link, frame) if flags else frame)
         except (msgspec.DecodeError, ValueError):
-            # Nothing after it can be trusted; counted by its fault.
+            # The stream and its compression state are no longer in sync.
             self._fail(link, "malformed")
             return
         if link.address:
@@ -129,7 +128,7 @@
             self.feed(events.IncomingLinkMessage(link=link.number, message=message))
 
     def connection_lost(self, link: Link) -> None:
-        """Report the end of a link."""
+        """Report that a link was closed."""
         if link.address and self.outgoing.get(link.address) is link:
             del self.outgoing[link.address]
             self.feed(
@@ -162,5 +161,5 @@
 
 
 def set_ack_timeout(sock: socket.socket) -> None:
-    """Have the kernel end a connection whose bytes nobody acknowledges."""
+    """Have the kernel close a connection whose data is not acknowledged."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS)
--- a/ferrydeck/mesh/net/store_client.py
+++ b/ferrydeck/mesh/net/store_client.py
@@ -1,7 +1,7 @@
-"""The client of the platform's store: the core's requests as HTTP, and their results.
+"""HTTP client of the platform's store: sends requests of the core, returns the results.
 
-Owns the connections to the store and the pages of answers that come in several; relies
-on `platform.kv` for the form of requests and answers.
+Owns the connections to the store and collects paged answers; `platform.kv` defines the
+format of requests and answers.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from ferrydeck.platform import kv
 
 MAX_CONNECTIONS = 8
-"""Connections at once: two watches, and a few calls beside them."""
+"""Concurrent connections: two watches and a few calls."""
 CALL_TIMEOUT_S = 1.5
-"""How long a call may take, seconds: a slow store of the users' pages takes 0.3."""
+"""Timeout of a call, seconds; a slow store takes 0.3."""
 
 
 @attrs.define(kw_only=True)
 class PendingRequest:
-    """A request that was sent, with the pages that came so far."""
+    """A request in flight, with the pages received so far."""
 
     request: store.Request
     pages: list[bytes] = attrs.Factory(list)
     era: int | None = None
-    """The era of the pages; `None` before the first one."""
+    """Era of the pages; `None` before the first one."""
 
 
 class StoreClient:
-    """Sends the core's requests to the store and hands back their results."""
+    """Sends requests of the core to the store and returns their results."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         )
 
     def ask(self, request: store.Request) -> None:
-        """Send a request; its result comes to `answered`."""
+        """Send a request; its result is passed to `answered`."""
         self._send(PendingRequest(request=request), kv.to_http(request))
 
     def _send(self, pending: PendingRequest, call: api_client.Call) -> None:
@@ -74,7 +74,7 @@
     def _read(
         self, pending: PendingRequest, answer: api_client.Answer
     ) -> store.Result | None:
-        """Return the result of an answer, `None` where another page is awaited."""
+        """Return the result of an answer, or `None` if another page follows."""
         try:
             era = kv.read_era(answer.fields)
         except ValueError as exc:
@@ -88,7 +88,7 @@
         return kv.from_http(pending.request, answer.status, pending.pages)
 
     def _more(self, pending: PendingRequest, status: int, body: bytes) -> bool:
-        """Ask for the next page; false where there is none."""
+        """Request the next page; return false if there is none."""
         if status != 200 or not isinstance(pending.request, store.ReadBoxes):
             return False
         last = kv.last_key(body)
--- a/ferrydeck/mesh/net/target.py
+++ b/ferrydeck/mesh/net/target.py
@@ -1,7 +1,7 @@
-"""The target of this box as the driver uses it: requests, health checks, answers.
+"""Requests and health checks to the target of this box.
 
-Owns the client of the target; translates effects of the core into HTTP and answers into
-events, with the header fields that `platform.headers` reads and makes.
+Translates effects of the core into HTTP requests and answers into events, with the
+header fields of `platform.headers`.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from ferrydeck.platform import headers
 
 HEALTH_CHECK_TICKET = -1
-"""The ticket of a health check; those of requests are above zero."""
+"""Ticket of health checks; tickets of requests are positive."""
 HEALTH_CHECK_TIMEOUT_S = 1.0
-"""How long a health check waits for its answer, seconds."""
+"""Timeout of a health check, seconds."""
 
 
 class Target:
-    """Sends requests and health checks to the target, and feeds their answers."""
+    """Sends requests and health checks to the target; feeds answers to the core."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         )
 
     def dispatch(self, effect: effects.Dispatch) -> None:
-        """Send a request."""
+        """Send a request to the target."""
         request_id = effect.request_id
         self.client.request(
             effect.dispatch,
--- a/ferrydeck/mesh/net/target_client.py
+++ b/ferrydeck/mesh/net/target_client.py
@@ -1,8 +1,8 @@
-"""The HTTP client for the target of this box: one request a connection at a time.
+"""HTTP/1.1 client for the target of this box, one request at a time per connection.
 
-Owns the connections to the target and what was learned of how long an idle one lives
-there. An answer up to a length comes whole; of a longer one further bytes come as they
-are asked for. Relies on the driver to call `expire`.
+Owns the connection pool and tracks after which idle time the target drops connections.
+Short answers are delivered whole, longer ones in parts under flow control. The driver
+calls `expire`.
 """
 
 from __future__ import annotations
@@ -17,32 +17,30 @@
 from ferrydeck.net import http, poller, request_client
 
 MAX_WHOLE_BODY_BYTES = 64 * 1024
-"""A body up to this length is handed on whole, bytes."""
+"""Longest body that is delivered whole, bytes."""
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-"""How long an idle connection may be used again, if the target states none, seconds."""
+"""Idle timeout of pooled connections if the target states none, seconds."""
 IDLE_TIMEOUT_RATIO = 0.7
-"""Share of the stated time after which an idle connection isn't used again."""
+"""Fraction of the stated keep-alive timeout for which a connection is reused."""
 STALE_LOSS_S = 0.05
-"""A request on a connection that was idle, lost this soon and without a byte of an
-answer, shows that the target had dropped the connection, seconds."""
+"""A reused connection that is lost within this time, without any byte of an answer,
+had been dropped by the target while idle, seconds."""
 STALE_IDLE_RATIO = 0.7
-"""Share of the idle time that a connection did not survive after which others aren't
-used."""
+"""Fraction of the idle time of a dropped connection for which others are reused."""
 STALE_MEMORY_S = 10.0
-"""How long what was learned of dropped connections holds, seconds."""
+"""How long a dropped connection limits the reuse of others, seconds."""
 KEEPALIVE_PROBES = 2
-"""Unanswered probes of the kernel after which a connection to the target is lost."""
+"""Unanswered TCP keepalive probes after which a connection is closed."""
 ACK_TIMEOUT_MS = 3000
-"""How long a target may leave sent bytes unacknowledged until the kernel ends the
-connection, milliseconds."""
+"""TCP_USER_TIMEOUT of connections to the target, milliseconds."""
 DEADLINE_GRACE_S = 0.1
-"""How much later than its deadline a target's answer is still waited for, seconds."""
+"""How long after its deadline an answer is still awaited, seconds."""
 KEEP_ALIVE_FIELD = "keep-alive"
 
 
 @attrs.define(kw_only=True, frozen=True)
 class AnswerHead:
-    """An answer's head, with all of its body or the first part."""
+    """Head of an answer, with all or the first part of the body."""
 
     ticket: int
     status: int
@@ -50,12 +48,12 @@
     body: bytes
     more: bool
     total: int
-    """The length of the whole body, bytes; -1 where it isn't known yet."""
+    """Length of the whole body, bytes; -1 if unknown."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class AnswerPart:
-    """A further part of a long answer."""
+    """A further part of a streamed answer."""
 
     ticket: int
     data: bytes
@@ -67,25 +65,25 @@
 
 @attrs.define(kw_only=True, eq=False)
 class TargetConn(request_client.RequestConn):
-    """A connection to the target; its credit counts bytes."""
+    """Connection to the target; its flow-control credit is in bytes."""
 
     is_answer: Callable[[http.Fields], bool] | None = None
-    """Whether an answer with these fields is the one to the request in hand."""
+    """Tells by its header fields whether an answer belongs to the current request."""
     reader: bodies.BodyReader | None = None
     body: bytearray = attrs.Factory(bytearray)
     foreign: bool = False
-    """Whether the answer that is being read belongs to another request."""
+    """Whether the current answer belongs to another request."""
     idle_until: float = 0.0
     idle_limit_s: float = DEFAULT_IDLE_TIMEOUT_S
     idle_since: float = 0.0
     idle_s: float = 0.0
-    """How long it was idle before the request in hand; 0 for a new connection."""
+    """Idle time before the current request; 0 for a new connection."""
     started_at: float = 0.0
-    """When the request in hand was given to it; time of `clock.now`."""
+    """When the current request was sent, as of `clock.now`."""
 
 
 class TargetClient(request_client.RequestClient):
-    """Sends requests to the target and hands their answers to `listener`."""
+    """Sends requests to the target and passes their answers to `listener`."""
 
     conn_class = TargetConn
     keepalive_probes = KEEPALIVE_PROBES
@@ -104,7 +102,7 @@
         )
         self.opened = 0
         self._safe_idle_s = float("inf")
-        """Idle time after which connections were lately found dropped, seconds."""
+        """Idle time up to which connections are reused, seconds."""
         self._stale_seen_at = 0.0
 
     def request(
@@ -118,7 +116,7 @@
         is_answer: Callable[[http.Fields], bool],
         left_s: float,
     ) -> None:
-        """Send a request; its answer, or the loss of it, comes to the listener."""
+        """Send a request; the listener receives its answer or its loss."""
         now = clock.now()
         conn = self._reuse(now) or self._connect()
         if conn is None:
@@ -135,22 +133,21 @@
         conn.body = bytearray()
         data = request_bytes(method, path, fields, body)
         if len(data) > MAX_WHOLE_BODY_BYTES:
-            # The target may leave a long body unread, which the kernel would take for
-            # silence.
+            # A target that is slow to read a long body must not hit TCP_USER_TIMEOUT.
             conn.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
         self._send_request(conn, ticket, now + left_s + DEADLINE_GRACE_S, data)
 
     def expire(self, now: float) -> None:
-        """Give up requests past their deadline, close connections idle for long."""
+        """Fail requests past their deadline and close expired idle connections."""
         super().expire(now)
         for conn in list(self.idle):
             if now >= conn.idle_until:
                 self.close_conn(conn)
 
     def data_received(self, conn: TargetConn, data: bytes) -> None:
-        """Read an answer."""
+        """Parse an answer."""
         if not conn.ticket:
-            # Bytes after a whole answer belong to no request.
+            # Unsolicited bytes on an idle connection.
             self.close_conn(conn)
             return
         conn.inbuf += data
@@ -160,8 +157,8 @@
             self._fail_request(conn, str(exc))
 
     def deliver_parts(self, conn: TargetConn) -> None:
-        """Hand on what is there, as far as it was asked for."""
-        conn.body += conn.reader.take(conn.inbuf)
+        """Deliver buffered bytes as far as the credit allows."""
+        conn.body += conn.reader.read(conn.inbuf)
         if conn.reader.done and len(conn.body) <= conn.credit:
             self._report_last(conn)
             self._release(conn)
@@ -176,12 +173,16 @@
             self.listener(AnswerPart(ticket=conn.ticket, data=data, last=False))
 
     def connection_lost(self, conn: TargetConn) -> None:
-        """Act on the end of a connection: an answer without length is whole then."""
+        """Handle a closed connection, which completes an answer without a length."""
         if conn in self.idle:
             self.idle.remove(conn)
         if not conn.ticket:
             return
-        if conn.socket_error or conn.reader is None or not conn.reader.ended():
+        if (
+            conn.socket_error
+            or conn.reader is None
+            or not conn.reader.connection_closed()
+        ):
             self._record_stale(conn)
             self._report_failure(conn, "connection ended", refused=not conn.connected)
             return
@@ -204,20 +205,20 @@
             if conn.streaming:
                 self.deliver_parts(conn)
                 return
-            conn.body += conn.reader.take(conn.inbuf)
+            conn.body += conn.reader.read(conn.inbuf)
             if not conn.reader.done:
                 self._start_streaming(conn)
                 return
             if conn.foreign:
                 self._discard_foreign(conn)
                 continue
-            self._complete(conn)
+            self._finish_whole(conn)
 
     def _read_head(self, conn: TargetConn) -> bool:
         if not super()._read_head(conn):
             return False
         if conn.head.status < 200:
-            # An interim answer: the final one follows.
+            # Skip an informational (1xx) answer.
             conn.head = None
             return bool(conn.inbuf) and self._read_head(conn)
         conn.reader = bodies.BodyReader(length=conn.head.length)
@@ -225,7 +226,7 @@
         return True
 
     def _start_streaming(self, conn: TargetConn) -> None:
-        """Start to hand a long answer on in parts."""
+        """Switch to streaming once an answer exceeds the limit for whole ones."""
         if len(conn.body) < MAX_WHOLE_BODY_BYTES:
             return
         if conn.foreign:
@@ -247,12 +248,12 @@
         )
 
     def _discard_foreign(self, conn: TargetConn) -> None:
-        """Drop a late answer to an earlier request; the right one may follow."""
+        """Discard an answer to an earlier request; the awaited one may follow."""
         conn.head = None
         conn.reader = None
         conn.body = bytearray()
 
-    def _complete(self, conn: TargetConn) -> None:
+    def _finish_whole(self, conn: TargetConn) -> None:
         self._report_whole(conn)
         if not conn.closed:
             self._release(conn)
@@ -281,24 +282,24 @@
         self.listener(AnswerPart(ticket=ticket, data=data, last=True))
 
     def _release(self, conn: TargetConn) -> None:
-        """Keep a connection whose request is done, if it may be used again."""
+        """Return a connection to the pool if it is reusable."""
         conn.ticket = 0
         conn.streaming = False
-        early = bool(conn.outbuf)
-        if not conn.head.keep_alive or conn.inbuf or early:
+        unsent = bool(conn.outbuf)
+        if not conn.head.keep_alive or conn.inbuf or unsent:
             self.close_conn(conn)
             return
         now = clock.now()
-        stated_s = keep_alive_s(conn.head.fields)
-        if stated_s is not None:
-            conn.idle_limit_s = stated_s * IDLE_TIMEOUT_RATIO
+        timeout_s = keep_alive_s(conn.head.fields)
+        if timeout_s is not None:
+            conn.idle_limit_s = timeout_s * IDLE_TIMEOUT_RATIO
         conn.idle_since = now
         conn.idle_until = now + conn.idle_limit_s
         self.resume_reading(conn)
         self.idle.append(conn)
 
     def _reuse(self, now: float) -> TargetConn | None:
-        """Return the connection that was idle least, if it may be used again."""
+        """Return the reusable connection with the shortest idle time, if any."""
         if now - self._stale_seen_at > STALE_MEMORY_S:
             self._safe_idle_s = float("inf")
         while self.idle:
@@ -310,7 +311,7 @@
         return None
 
     def _record_stale(self, conn: TargetConn) -> None:
-        """Learn from a connection that the target had dropped while it was idle."""
+        """Shorten the reuse of idle connections if the target dropped this one."""
         now = clock.now()
         answered = conn.head is not None or conn.inbuf
         if not conn.idle_s or answered or now - conn.started_at > STALE_LOSS_S:
@@ -320,7 +321,7 @@
 
 
 def request_bytes(method: str, path: str, fields: http.Fields, body: bytes) -> bytes:
-    """Return the bytes of a request to the target; `fields` have its host."""
+    """Return the encoded request; `fields` includes the host."""
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [f"{name}: {http.sanitize_value(value)}" for name, value in fields]
     if body or method not in ("GET", "HEAD", "DELETE"):
@@ -330,7 +331,7 @@
 
 
 def keep_alive_s(fields: http.Fields) -> float | None:
-    """Return how long the target keeps an idle connection, `None` if it states none."""
+    """Return the timeout of a Keep-Alive header in seconds, `None` if there is none."""
     stated = dict(fields).get(KEEP_ALIVE_FIELD, "")
     for part in stated.split(","):
         name, _, value = part.strip().partition("=")
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -67,13 +67,13 @@
     assert http.read_response(head, until_close=True).length == http.UNTIL_CLOSE
 
 
-def take_all(reader: bodies.BodyReader, data: bytes, step: int) -> tuple[bytes, bytes]:
+def read_all(reader: bodies.BodyReader, data: bytes, step: int) -> tuple[bytes, bytes]:
     """Feed bytes in steps; return the body and what is left over."""
     buffer = bytearray()
     out = b""
     for start in range(0, len(data), step):
         buffer += data[start : start + step]
-        out += reader.take(buffer)
+        out += reader.read(buffer)
     return out, bytes(buffer)
 
 
@@ -81,14 +81,14 @@
 def test_chunks_are_read_however_they_come(step):
     data = b"5\r\nhello\r\n6;x=y\r\n world\r\n0\r\nT: v\r\n\r\nGET /next"
     reader = bodies.BodyReader(length=http.CHUNKED)
-    assert take_all(reader, data, step) == (b"hello world", b"GET /next")
+    assert read_all(reader, data, step) == (b"hello world", b"GET /next")
     assert reader.done
 
 
 @pytest.mark.parametrize("step", [1, 3, 100])
 def test_a_length_is_kept_to(step):
     reader = bodies.BodyReader(length=5)
-    assert take_all(reader, b"hellonext", step) == (b"hello", b"next")
+    assert read_all(reader, b"hellonext", step) == (b"hello", b"next")
     assert reader.done
 
 
@@ -98,13 +98,13 @@
 def test_bad_chunks_are_refused(data):
     reader = bodies.BodyReader(length=http.CHUNKED)
     with pytest.raises(bodies.BadBody):
-        reader.take(bytearray(data))
+        reader.read(bytearray(data))
 
 
 def test_a_body_that_stops_midway_is_not_whole():
     reader = bodies.BodyReader(length=5)
-    reader.take(bytearray(b"hel"))
-    assert not reader.ended()
+    reader.read(bytearray(b"hel"))
+    assert not reader.connection_closed()
     reader = bodies.BodyReader(length=http.UNTIL_CLOSE)
-    assert reader.take(bytearray(b"hel")) == b"hel"
-    assert reader.ended()
+    assert reader.read(bytearray(b"hel")) == b"hel"
+    assert reader.connection_closed()
