--- a/tests/mesh/chains.py
+++ b/tests/mesh/chains.py
@@ -28,7 +28,7 @@
     boxes: dict[str, int]
     slots: dict[str, int]
     speeds: dict[str, tuple[float, ...]]
-    works_s: tuple[tuple[str, float], ...]
+    work_s_by_prefix: tuple[tuple[str, float], ...]
     calls: dict[str, tuple[simulation.Calls, ...]]
     data_centres: int
     routes: tuple[policy.Route, ...]
@@ -82,7 +82,7 @@
     boxes={"desk": 95, "ledger": 69, "plan": 20, "deep": 10},
     slots={"desk": 15, "ledger": 15, "plan": 34, "deep": 18},
     speeds=dict.fromkeys(("desk", "ledger", "plan", "deep"), USUAL_SPEEDS),
-    works_s=(
+    work_s_by_prefix=(
         ("/look/", 0.22),
         ("/post/", 0.28),
         ("/sheet/", 0.17),
@@ -127,7 +127,7 @@
         "plan": USUAL_SPEEDS,
         "deep": SHIFTED_SPEEDS,
     },
-    works_s=(
+    work_s_by_prefix=(
         ("/look/", 0.121),
         ("/post/", 0.163),
         ("/sheet/", 0.0964),
@@ -278,28 +278,28 @@
     seed: int = 1,
     switch_values: switches.Switches | None = None,
     spec: Deployment = LARGE,
-    calls_named: bool = False,
+    calls_carry_run_id: bool = False,
 ) -> Chain:
     """Return a fleet with `scale` times the boxes, three seconds after its start."""
     world = simulation.World(
         seed=seed,
         call_host=samples.HOST,
-        calls_named=calls_named,
+        calls_carry_run_id=calls_carry_run_id,
         switches=switch_values or switches.Switches(),
     )
-    world.store.use(spec.policy())
+    world.store.set_policy(spec.policy())
     number = 0
     for service, count in spec.boxes.items():
         speeds = spec.speeds[service]
         for index in range(max(2, round(scale * count))):
             speed = speeds[index % len(speeds)]
-            works = tuple((of, work_s / speed) for of, work_s in spec.works_s)
+            works = tuple((of, work_s / speed) for of, work_s in spec.work_s_by_prefix)
             world.add_box(
                 f"box-{number}",
                 f"hall-{number % spec.data_centres}",
                 service,
                 slots=spec.slots[service],
-                works_s=works,
+                work_s_by_prefix=works,
                 calls=spec.calls[service],
             )
             number += 1
--- a/tests/mesh/faults.py
+++ b/tests/mesh/faults.py
@@ -71,7 +71,7 @@
         """End all faults that do not end by themselves."""
         world = self.world
         world.store.up = True
-        world.links.mend()
+        world.links.heal()
         world.store.cut = lambda box: False
         for box in world.boxes.values():
             box.target.loses_answers = False
@@ -111,7 +111,7 @@
         def outwards(one: simulation.Box, other: simulation.Box) -> bool:
             return one.data_centre == data_centre != other.data_centre
 
-        self._cut(outwards if one_way else links.around(data_centre))
+        self._cut(outwards if one_way else links.isolate_data_centre(data_centre))
 
     def _cut_box(self) -> None:
         if (box := self._box()) is not None:
@@ -122,7 +122,7 @@
         self.world.after(self.rng.uniform(0.5, 5.0), self._mend)
 
     def _mend(self) -> None:
-        self.world.links.mend()
+        self.world.links.heal()
 
     def _store_down(self) -> None:
         self.world.store.up = False
@@ -137,7 +137,7 @@
 
     def _new_policy(self) -> None:
         self._version += self.rng.randint(1, 3)
-        self.world.store.use(policy_of(self._version))
+        self.world.store.set_policy(policy_of(self._version))
 
     def _drain(self) -> None:
         staying = [box for box in self.world.boxes.values() if not box.target.leaving]
@@ -152,10 +152,10 @@
             if accepted:
                 self.leaving.setdefault(target_id, self.world.now)
 
-        by_leave = self.rng.random() < 0.3
+        deregister = self.rng.random() < 0.3
         box.target.leaving = True
-        self.world.targets.report(
-            box, ready=False, terminating=by_leave, answered=acknowledged
+        self.world.targets.send_heartbeat(
+            box, ready=False, terminating=deregister, answered=acknowledged
         )
         self.world.after(4.0, lambda: self.world.targets.replace(box))
 
@@ -187,7 +187,7 @@
     """Play a schedule drawn from a seed and check what callers and targets saw."""
     rng = random.Random(seed)
     world = simulation.World(seed=seed)
-    world.store.use(policy_of(4))
+    world.store.set_policy(policy_of(4))
     for index in range(boxes):
         world.add_box(f"box-{index}", f"hall-{index % 3}", "desk", slots=12)
     world.run(2.0)
@@ -220,8 +220,8 @@
 
 
 def _disconnect(world: simulation.World, req: simulation.Request) -> None:
-    if req.answer is None and req.gone_at is None:
-        world.callers.leave(req)
+    if req.answer is None and req.disconnected_at is None:
+        world.callers.disconnect(req)
 
 
 def _result(seed: int, world: simulation.World, schedule: Schedule) -> ScheduleResult:
@@ -232,7 +232,7 @@
     requests = list(world.callers.requests.values())
     last_at = requests[-1].at
     last = [one for one in requests if one.at > last_at - 2.0]
-    last = [one for one in last if one.gone_at is None]
+    last = [one for one in last if one.disconnected_at is None]
     return ScheduleResult(
         seed=seed,
         faults=found,
@@ -262,7 +262,7 @@
     return [
         f"UNANSWERED {one.request_id} at {one.box}"
         for one in world.callers.requests.values()
-        if one.answer is None and one.gone_at is None
+        if one.answer is None and one.disconnected_at is None
     ]
 
 
--- a/tests/mesh/poison/schedules.py
+++ b/tests/mesh/poison/schedules.py
@@ -44,7 +44,7 @@
                 next_fault_at = self.world.now + self.rng.uniform(*FAULT_INTERVAL_S)
             self._send_requests()
             self.world.run(STEP_S)
-        self.world.links.mend()
+        self.world.links.heal()
         self.world.run(3.0)
 
     def inject_fault(self) -> None:
@@ -97,7 +97,7 @@
 
     def _lose_power(self, box: simulation.Box) -> None:
         if box.up and box.target.up:
-            box.target.at_work.clear()
+            box.target.running.clear()
             self.world.kill(box, 0.5)
             self.world.targets.replace(box)
 
@@ -129,11 +129,11 @@
         box.frozen_until = self.world.now + self.rng.uniform(0.2, 1.5)
 
     def _partition(self, box: simulation.Box) -> None:
-        self.world.links.cut = links.around(box.data_centre)
+        self.world.links.cut = links.isolate_data_centre(box.data_centre)
         self.world.after(0.8, self._heal)
 
     def _heal(self) -> None:
-        self.world.links.mend()
+        self.world.links.heal()
 
 
 def run_schedule(seed: int) -> Schedule:
--- a/tests/mesh/poison/test_crash_logging.py
+++ b/tests/mesh/poison/test_crash_logging.py
@@ -17,7 +17,7 @@
     world = fleets.build_world(3, seed=2)
     box = world.boxes["box-1"]
     requests = samples.load(world, "box-1", 12, every_s=0.001)
-    running = len(box.target.at_work)
+    running = len(box.target.running)
     world.targets.crash(box, 1.0)
     world.run(0.2)
     assert requests
@@ -40,7 +40,7 @@
     world = fleets.build_world(1, seed=2)
     samples.ask(world, "box-0", path="/look/alone")
     box = world.boxes["box-0"]
-    [dispatch] = box.target.at_work
+    [dispatch] = box.target.running
     box.target.up = False
     now = world.clock(box)
 
@@ -65,7 +65,7 @@
     world = samples.world_of(1, slots=30)
     samples.load(world, "box-0", 10, every_s=0.001)
     box = world.boxes["box-0"]
-    dispatch = next(iter(box.target.at_work))
+    dispatch = next(iter(box.target.running))
     world.targets.lose_answer(box, dispatch)
     world.run(1.0)
     assert [
@@ -79,7 +79,7 @@
     for number in range(2):
         samples.ask(world, "box-0", path=f"/look/{number}")
     box = world.boxes["box-0"]
-    first, second = box.target.at_work
+    first, second = box.target.running
     inbound = box.core.inbound
     sent = []
     inbound.results.send = lambda now, job, message: sent.append(
--- a/tests/mesh/poison/test_poison_requests.py
+++ b/tests/mesh/poison/test_poison_requests.py
@@ -96,7 +96,7 @@
 
 @pytest.mark.parametrize("keeps_id", [False, True])
 def test_targets_that_restart_after_a_second_do_not_crash_again(keeps_id):
-    fleet = fleets.loaded_fleet(3, seed=6, keeps_id=keeps_id, started_ms=1, down_s=1.0)
+    fleet = fleets.loaded_fleet(3, seed=6, reuse_id=keeps_id, started_ms=1, down_s=1.0)
     send_spaced(fleet, copies=12, every_s=0.8)
     assert fleets.crash_count(fleet.world) <= 3
 
@@ -140,7 +140,7 @@
             fleet.run_load(0.5)
     assert fleets.crash_count(world) <= 6
     before = fleets.crash_count(world)
-    world.links.mend()
+    world.links.heal()
     fleet.run_load(4.0)
     send_spaced(fleet)
     assert fleets.crash_count(world) == before
@@ -170,7 +170,7 @@
 
 def test_retries_of_upper_levels_do_not_multiply_a_nested_poison_request():
     world = simulation.World(seed=3, call_host=samples.HOST)
-    world.store.use(
+    world.store.set_policy(
         samples.policy_of(samples.route(), samples.route("deep", parts=NESTED_SPLIT))
     )
     calls = (
--- a/tests/mesh/retry_schedules.py
+++ b/tests/mesh/retry_schedules.py
@@ -99,7 +99,7 @@
             )
 
     def _shed_requests(self) -> None:
-        self._set_temporarily("sheds_share", self.rng.uniform(0.3, 0.9), 0.0)
+        self._set_temporarily("shed_ratio", self.rng.uniform(0.3, 0.9), 0.0)
 
     def _lose_answers(self) -> None:
         self._set_temporarily("loses_answers", True, False)
@@ -114,8 +114,8 @@
 
     def _cut_data_centre(self) -> None:
         data_centre = f"hall-{self.rng.randrange(DATA_CENTRES)}"
-        self.world.links.cut = links.around(data_centre)
-        self.world.after(self.rng.uniform(1.0, 5.0), self.world.links.mend)
+        self.world.links.cut = links.isolate_data_centre(data_centre)
+        self.world.after(self.rng.uniform(1.0, 5.0), self.world.links.heal)
 
     def _freeze_daemon(self) -> None:
         [box] = self._boxes(0.2)
@@ -133,7 +133,7 @@
     """Simulate the schedule of a seed and count the retries."""
     rng = random.Random(seed)
     world = simulation.World(seed=seed)
-    world.store.use(samples.policy_of(samples.route(), samples.pay()))
+    world.store.set_policy(samples.policy_of(samples.route(), samples.pay()))
     for index in range(BOXES):
         data_centre = f"hall-{index % DATA_CENTRES}"
         world.add_box(f"box-{index}", data_centre, "desk", slots=12)
--- a/tests/mesh/samples.py
+++ b/tests/mesh/samples.py
@@ -42,7 +42,7 @@
 ) -> simulation.World:
     """Return a world of boxes with a target of `desk` each, two seconds old."""
     made = simulation.World(seed=seed)
-    made.store.use(policy_of(route(), pay()))
+    made.store.set_policy(policy_of(route(), pay()))
     for index in range(boxes):
         made.add_box(f"box-{index}", f"hall-{index % data_centres}", "desk", **target)
     made.run(2.0)
--- a/tests/mesh/simulation/box.py
+++ b/tests/mesh/simulation/box.py
@@ -30,7 +30,7 @@
     """When it was born, milliseconds; 0 for one that does not report it."""
     slots: int = 8
     work_s: float = 0.05
-    works_s: tuple[tuple[str, float], ...] = ()
+    work_s_by_prefix: tuple[tuple[str, float], ...] = ()
     """Prefixes of paths whose runs take another time, with that time in seconds."""
     up: bool = True
     leaving: bool = False
@@ -38,22 +38,24 @@
     """What its health check says, where it is wrong; `None` where it is right."""
     loses_answers: bool = False
     sheds: bool = False
-    sheds_share: float = 0.0
+    shed_ratio: float = 0.0
     fails: bool = False
     calls: tuple[Calls, ...] = ()
     lethal: tuple[str, ...] = ()
     """Prefixes of paths whose runs crash the target in place of an answer."""
     down_s: float = 1.0
     """How long it is away when such a run has crashed it, seconds."""
-    keeps_id: bool = False
+    reuse_id: bool = False
     """Whether it starts again under its id."""
     crashes: int = 0
     """How often its incarnations have crashed."""
-    at_work: dict[int, simpy.Event] = attrs.Factory(dict)
+    running: dict[int, simpy.Event] = attrs.Factory(dict)
 
     def service_time_s(self, path: str) -> float:
         """Return how long a run takes at the mean, its calls not counted, seconds."""
-        return next((s for of, s in self.works_s if path.startswith(of)), self.work_s)
+        return next(
+            (s for of, s in self.work_s_by_prefix if path.startswith(of)), self.work_s
+        )
 
 
 @attrs.define(kw_only=True)
@@ -67,9 +69,9 @@
     target: Target
     up: bool = True
     frozen_until: float = 0.0
-    links_out: dict[str, int] = attrs.Factory(dict)
+    outgoing_links: dict[str, int] = attrs.Factory(dict)
     """Numbers, at the other side, of the links that this box dialled, by address."""
-    links_in: dict[int, str] = attrs.Factory(dict)
+    incoming_links: dict[int, str] = attrs.Factory(dict)
     """Addresses of the boxes that dialled this one, by number of the link."""
     wake_at: float | None = None
     sequence: int = 0
--- a/tests/mesh/simulation/callers.py
+++ b/tests/mesh/simulation/callers.py
@@ -34,7 +34,7 @@
     run_id: str = ""
     """The request whose run makes it as a call; empty for a caller's own."""
     answer: Answer | None = None
-    gone_at: float | None = None
+    disconnected_at: float | None = None
     then: Callable[[], None] | None = None
     """Run when the final answer has come."""
 
@@ -43,7 +43,7 @@
 class Callers:
     """Sends requests to daemons and keeps them with their answers."""
 
-    line: timeline.Timeline
+    timeline: timeline.Timeline
     requests: dict[str, Request] = attrs.Factory(dict)
     """All requests by id, in the order in which they were sent."""
     _open: dict[tuple[str, int], tuple[boxes.Box, Request]] = attrs.Factory(dict)
@@ -62,12 +62,12 @@
         run_id: str = "",
     ) -> Request:
         """Have a caller on a box send a request, or the run of an id make a call."""
-        number = self.line.number()
+        number = self.timeline.number()
         request_id = f"{run_id}.{number}" if run_id else f"r{number}"
         req = Request(
             request_id=request_id,
             box=box.name,
-            at=self.line.now,
+            at=self.timeline.now,
             once=once,
             path=path,
             run_id=run_id,
@@ -86,23 +86,23 @@
             run_id=run_id,
         )
         self._open[box.name, number] = (box, req)
-        self.line.feed(box, event)
+        self.timeline.feed(box, event)
         return req
 
-    def leave(self, req: Request) -> None:
+    def disconnect(self, req: Request) -> None:
         """Have a caller close its connection."""
         for (name, number), (box, one) in list(self._open.items()):
             if one is req:
-                req.gone_at = self.line.now
+                req.disconnected_at = self.timeline.now
                 del self._open[name, number]
-                self.line.feed(box, events.CallerDisconnected(conn=number))
+                self.timeline.feed(box, events.CallerDisconnected(conn=number))
 
-    def lose_daemon(self, box: boxes.Box) -> None:
+    def daemon_killed(self, box: boxes.Box) -> None:
         """End the connections of a daemon that was killed."""
         for name, number in list(self._open):
             if name == box.name:
                 _, req = self._open.pop((name, number))
-                req.gone_at = self.line.now
+                req.disconnected_at = self.timeline.now
 
     def answered(self, box: boxes.Box, conn: int, answer: Answer) -> None:
         """Keep the final answer to a request, unless its caller has left."""
@@ -111,4 +111,4 @@
             return
         req.answer = answer
         if req.then is not None:
-            self.line.after(0.0, req.then)
+            self.timeline.after(0.0, req.then)
--- a/tests/mesh/simulation/links.py
+++ b/tests/mesh/simulation/links.py
@@ -11,22 +11,22 @@
 from tests.mesh.simulation import box as boxes
 from tests.mesh.simulation import timeline
 
-NEAR_S = 0.0002
-FAR_S = 0.001
+SAME_DC_DELAY_S = 0.0002
+CROSS_DC_DELAY_S = 0.001
 
 
 @attrs.define(kw_only=True)
 class Links:
     """Dials, carries messages, and ends links; a cut swallows what crosses it."""
 
-    line: timeline.Timeline
+    timeline: timeline.Timeline
     by_address: dict[str, boxes.Box] = attrs.Factory(dict)
     cut: Callable[[boxes.Box, boxes.Box], bool] = lambda one, other: False
     """Tells whether nothing comes from one box to another."""
     sent: collections.Counter[str] = attrs.Factory(collections.Counter)
     """Messages between daemons, by class."""
 
-    def mend(self) -> None:
+    def heal(self) -> None:
         """End the cut."""
         self.cut = lambda one, other: False
 
@@ -35,65 +35,65 @@
         other = self.by_address.get(address)
         if other is None or not other.up:
             down = events.OutgoingLinkDown(address=address, was_up=False)
-            self.line.feed_later(box, down, FAR_S)
+            self.timeline.feed_later(box, down, CROSS_DC_DELAY_S)
             return
         if self.cut(box, other):
             return
-        number = self.line.number()
-        box.links_out[address] = number
-        other.links_in[number] = box.address
+        number = self.timeline.number()
+        box.outgoing_links[address] = number
+        other.incoming_links[number] = box.address
         up = events.OutgoingLinkUp(address=address)
-        self.line.feed_later(box, up, 2 * delay_s(box, other))
+        self.timeline.feed_later(box, up, 2 * delay_s(box, other))
 
     def hang_up(self, box: boxes.Box, address: str) -> None:
         """Close a link that a box dialled."""
-        number = box.links_out.pop(address, None)
+        number = box.outgoing_links.pop(address, None)
         other = self.by_address.get(address)
         if number is None or other is None:
             return
         if not self.cut(box, other):
-            self.line.after(delay_s(box, other), lambda: self._ended(other, number))
+            self.timeline.after(delay_s(box, other), lambda: self._ended(other, number))
 
     def drop(self, box: boxes.Box, other: boxes.Box) -> None:
         """End the links between two boxes, one of which has gone."""
-        number = other.links_out.pop(box.address, None)
+        number = other.outgoing_links.pop(box.address, None)
         if number is not None:
             down = events.OutgoingLinkDown(address=box.address, was_up=True)
-            self.line.feed_later(other, down, FAR_S)
-        number = box.links_out.pop(other.address, None)
+            self.timeline.feed_later(other, down, CROSS_DC_DELAY_S)
+        number = box.outgoing_links.pop(other.address, None)
         if number is not None:
-            self.line.after(FAR_S, lambda: self._ended(other, number))
+            self.timeline.after(CROSS_DC_DELAY_S, lambda: self._ended(other, number))
 
     def send(self, box: boxes.Box, address: str, message: messages.AnyMessage) -> None:
         """Send a message on a link that a box dialled."""
-        number = box.links_out.get(address)
+        number = box.outgoing_links.get(address)
         other = self.by_address.get(address)
         if number is None or other is None or self.cut(box, other):
             return
         copy = self._encoded(message)
 
         def arrive() -> None:
-            if number in other.links_in:
+            if number in other.incoming_links:
                 received = events.IncomingLinkMessage(link=number, message=copy)
-                self.line.feed(other, received)
+                self.timeline.feed(other, received)
 
-        self.line.after(delay_s(box, other), arrive)
+        self.timeline.after(delay_s(box, other), arrive)
 
     def send_back(
         self, box: boxes.Box, number: int, message: messages.AnyMessage
     ) -> None:
         """Send a message on a link that another box dialled."""
-        other = self.by_address.get(box.links_in.get(number, ""))
+        other = self.by_address.get(box.incoming_links.get(number, ""))
         if other is None or self.cut(box, other):
             return
         copy = self._encoded(message)
 
         def arrive() -> None:
-            if other.links_out.get(box.address) == number:
+            if other.outgoing_links.get(box.address) == number:
                 received = events.OutgoingLinkMessage(address=box.address, message=copy)
-                self.line.feed(other, received)
+                self.timeline.feed(other, received)
 
-        self.line.after(delay_s(box, other), arrive)
+        self.timeline.after(delay_s(box, other), arrive)
 
     def _encoded(self, message: messages.AnyMessage) -> messages.AnyMessage:
         """Count a message; return it as it comes out of its bytes."""
@@ -101,11 +101,11 @@
         return messages.decode(messages.encode(message))
 
     def _ended(self, box: boxes.Box, number: int) -> None:
-        if box.links_in.pop(number, None) is not None:
-            self.line.feed(box, events.IncomingLinkDown(link=number))
+        if box.incoming_links.pop(number, None) is not None:
+            self.timeline.feed(box, events.IncomingLinkDown(link=number))
 
 
-def around(data_centre: str) -> Callable[[boxes.Box, boxes.Box], bool]:
+def isolate_data_centre(data_centre: str) -> Callable[[boxes.Box, boxes.Box], bool]:
     """Return a cut between a data centre and all others."""
 
     def cut(one: boxes.Box, other: boxes.Box) -> bool:
@@ -116,4 +116,4 @@
 
 def delay_s(one: boxes.Box, other: boxes.Box) -> float:
     """Return how long a message takes between two boxes, seconds."""
-    return NEAR_S if one.data_centre == other.data_centre else FAR_S
+    return SAME_DC_DELAY_S if one.data_centre == other.data_centre else CROSS_DC_DELAY_S
--- a/tests/mesh/simulation/store.py
+++ b/tests/mesh/simulation/store.py
@@ -16,8 +16,8 @@
 from tests.mesh.simulation import box as boxes
 from tests.mesh.simulation import timeline
 
-STORE_S = 0.004
-SILENT_S = 1.0
+STORE_LATENCY_S = 0.004
+REQUEST_TIMEOUT_S = 1.0
 """When a daemon gives up a request that the store does not answer, seconds."""
 LEASE_S = 30.0
 
@@ -48,7 +48,7 @@
 class Store:
     """Holds the policy, records of boxes and leases, and answers daemons."""
 
-    line: timeline.Timeline
+    timeline: timeline.Timeline
     policy: policy.Policy | None = None
     records: dict[str, requests.BoxRecord] = attrs.Factory(dict)
     calls: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -56,7 +56,7 @@
     up: bool = True
     cut: Callable[[boxes.Box], bool] = lambda box: False
     """Tells whether the store does not answer a daemon."""
-    refuses: Callable[[boxes.Box], bool] = lambda box: False
+    rejects: Callable[[boxes.Box], bool] = lambda box: False
     """Tells whether the store rejects a daemon's requests at once."""
     era: int = 1
     replica_era: int | None = None
@@ -67,7 +67,7 @@
     _last_lease: int = 100
     _watches: list[Watch] = attrs.Factory(list)
 
-    def use(self, new: policy.Policy) -> None:
+    def set_policy(self, new: policy.Policy) -> None:
         """Store a policy."""
         self.policy = new
         self.revision += 1
@@ -80,7 +80,7 @@
         self.revision += changes
         self._answer_watches()
 
-    def lapse_leases(self) -> None:
+    def expire_leases(self) -> None:
         """Have all leases run out, and the records with them."""
         self._leases.clear()
         self.records.clear()
@@ -96,7 +96,7 @@
             last_lease=self._last_lease,
         )
 
-    def restore(self, copy: Copy, *, cuts_watches: bool = True) -> None:
+    def restore(self, copy: Copy, *, close_watches: bool = True) -> None:
         """Go back to a copy: a new era begins, and watches end unless they wait on."""
         self.era += 1
         self.policy = copy.policy
@@ -105,7 +105,7 @@
         self._policy_revision = copy.policy_revision
         self._leases = set(copy.leases)
         self._last_lease = copy.last_lease
-        if not cuts_watches:
+        if not close_watches:
             return
         waiting, self._watches = self._watches, []
         for watch in waiting:
@@ -122,12 +122,14 @@
             if box.incarnation == incarnation:
                 self._serve(box, request)
 
-        refused = self.refuses(box)
-        if refused or not self.up or self.cut(box):
-            result = requests.NoAnswer(detail="refused" if refused else "down")
-            self._answer(box, request, result, STORE_S if refused else SILENT_S)
+        rejected = self.rejects(box)
+        if rejected or not self.up or self.cut(box):
+            result = requests.NoAnswer(detail="refused" if rejected else "down")
+            self._answer(
+                box, request, result, STORE_LATENCY_S if rejected else REQUEST_TIMEOUT_S
+            )
             return
-        self.line.after(STORE_S, serve)
+        self.timeline.after(STORE_LATENCY_S, serve)
 
     def _serve(self, box: boxes.Box, request: requests.Request) -> None:
         if isinstance(request, requests.WatchPolicy):
@@ -137,19 +139,19 @@
         stale = getattr(request, "stale", False) and self.replica_era is not None
         era = self.replica_era if stale else self.era
         answered = events.StoreAnswered(request=request, result=result, era=era)
-        self.line.feed(box, answered)
+        self.timeline.feed(box, answered)
 
     def _answer(
         self,
         box: boxes.Box,
         request: requests.Request,
         result: requests.Result,
-        after_s: float = STORE_S,
+        after_s: float = STORE_LATENCY_S,
     ) -> None:
         """Feed a result later; a loss states no era."""
         era = 0 if isinstance(result, requests.NoAnswer) else self.era
         answered = events.StoreAnswered(request=request, result=result, era=era)
-        self.line.feed_later(box, answered, after_s)
+        self.timeline.feed_later(box, answered, after_s)
 
     def _result(self, request: requests.Request) -> requests.Result:
         match request:
@@ -190,10 +192,10 @@
             box=box,
             incarnation=box.incarnation,
             request=request,
-            ends=self.line.now + request.wait_s,
+            ends=self.timeline.now + request.wait_s,
         )
         self._watches.append(watch)
-        self.line.after(request.wait_s + STORE_S, self._answer_watches)
+        self.timeline.after(request.wait_s + STORE_LATENCY_S, self._answer_watches)
         self._answer_watches()
 
     def _answer_watches(self) -> None:
@@ -213,6 +215,6 @@
     def _watched(self, watch: Watch) -> requests.Result | None:
         if self._policy_revision > watch.request.after:
             return self._found()
-        if self.line.now >= watch.ends:
+        if self.timeline.now >= watch.ends:
             return requests.PolicyFound(policy=None, at=self.revision)
         return None
--- a/tests/mesh/simulation/targets.py
+++ b/tests/mesh/simulation/targets.py
@@ -10,11 +10,11 @@
 from tests.mesh.simulation import box as boxes
 from tests.mesh.simulation import callers, timeline
 
-REPORT_EVERY_S = 1.5
-ANSWER_S = 0.0001
-PROBE_S = 0.001
-RESET_S = 0.0001
-NEXT_RESET_S = 0.00005
+HEARTBEAT_INTERVAL_S = 1.5
+ANSWER_DELAY_S = 0.0001
+PROBE_DELAY_S = 0.001
+RESET_DELAY_S = 0.0001
+RESET_SPACING_S = 0.00005
 """When a daemon sees that the connections of a target that crashed have ended: of the
 first, and how much later of each further one, as its loop reads them in turn, s."""
 
@@ -34,7 +34,7 @@
 
 
 @attrs.define(kw_only=True)
-class Working:
+class Execution:
     """A run of a request, which goes on as long as its target has it."""
 
     box: boxes.Box
@@ -44,22 +44,22 @@
     """When its time is over, seconds."""
     incarnation: int
     """That of the daemon which sent it."""
-    calls_made: int = 0
+    completed_calls: int = 0
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         """Whether it was cancelled, or its target or daemon has gone."""
-        at_work = self.effect.dispatch in self.target.at_work
-        return not at_work or self.box.incarnation != self.incarnation
+        running = self.effect.dispatch in self.target.running
+        return not running or self.box.incarnation != self.incarnation
 
 
 @attrs.define(kw_only=True)
 class Targets:
     """Carries out what daemons and faults ask of targets."""
 
-    line: timeline.Timeline
+    timeline: timeline.Timeline
     callers: callers.Callers
-    calls_named: bool
+    calls_carry_run_id: bool
     """Whether targets name a call after the run that makes it."""
     call_host: str
     """The host that targets' calls name."""
@@ -67,26 +67,28 @@
     acks: dict[int, Callable[[bool], None]] = attrs.Factory(dict)
     """What gets the acknowledgement of a report, by its connection."""
 
-    def drain(self, box: boxes.Box, *, by_leave: bool = False) -> list[bool]:
+    def drain(self, box: boxes.Box, *, deregister: bool = False) -> list[bool]:
         """Have a target report that it leaves; the list gets the acknowledgement."""
         box.target.leaving = True
         acks: list[bool] = []
-        self.report(box, ready=False, terminating=by_leave, answered=acks.append)
+        self.send_heartbeat(
+            box, ready=False, terminating=deregister, answered=acks.append
+        )
         return acks
 
     def replace(self, box: boxes.Box, *, same_id: bool = False) -> None:
         """Have a new incarnation of the target answer, under its id or another one."""
-        box.target.at_work.clear()
+        box.target.running.clear()
         old = box.target
         if same_id:
             box.sequence = 0
         box.target = attrs.evolve(
             old,
             target_id=old.target_id if same_id else f"{old.target_id}x",
-            started_ms=int(1000 * self.line.now) + 1 if old.started_ms else 0,
+            started_ms=int(1000 * self.timeline.now) + 1 if old.started_ms else 0,
             up=True,
             leaving=False,
-            at_work={},
+            running={},
         )
 
     def crash(self, box: boxes.Box, down_s: float) -> None:
@@ -94,17 +96,19 @@
         target = box.target
         target.up = False
         target.crashes += 1
-        at_work = list(target.at_work)
-        target.at_work.clear()
-        for place, dispatch in enumerate(at_work):
+        running = list(target.running)
+        target.running.clear()
+        for place, dispatch in enumerate(running):
             failed = lost(dispatch, "connection ended")
-            self.line.feed_later(box, failed, RESET_S + place * NEXT_RESET_S)
-        self.line.after(down_s, lambda: self._start_again(box, target))
+            self.timeline.feed_later(
+                box, failed, RESET_DELAY_S + place * RESET_SPACING_S
+            )
+        self.timeline.after(down_s, lambda: self._restart(box, target))
 
     def lose_answer(self, box: boxes.Box, dispatch: int) -> None:
         """End the connection on which a target works; the run itself has ended."""
-        box.target.at_work.pop(dispatch)
-        self.line.feed_later(box, lost(dispatch, "connection ended"), RESET_S)
+        box.target.running.pop(dispatch)
+        self.timeline.feed_later(box, lost(dispatch, "connection ended"), RESET_DELAY_S)
 
     def probe(self, box: boxes.Box) -> None:
         """Have the target of a box answer a health check."""
@@ -117,17 +121,17 @@
             refused=not target.up,
             answered=target.up,
         )
-        self.line.feed_later(box, probed, PROBE_S)
+        self.timeline.feed_later(box, probed, PROBE_DELAY_S)
 
-    def report_forever(self, box: boxes.Box) -> None:
+    def send_heartbeats(self, box: boxes.Box) -> None:
         """Have the target of a box report as long as it is up."""
         if box.target.up and not box.target.leaving:
-            self.report(
+            self.send_heartbeat(
                 box, ready=True, terminating=False, answered=lambda accepted: None
             )
-        self.line.after(REPORT_EVERY_S, lambda: self.report_forever(box))
+        self.timeline.after(HEARTBEAT_INTERVAL_S, lambda: self.send_heartbeats(box))
 
-    def report(
+    def send_heartbeat(
         self,
         box: boxes.Box,
         *,
@@ -137,7 +141,7 @@
     ) -> None:
         """Have the target of a box report; `answered` gets the acknowledgement."""
         box.sequence += 1
-        number = self.line.number()
+        number = self.timeline.number()
         self.acks[number] = answered
         heartbeat = events.Heartbeat(
             conn=number,
@@ -151,9 +155,9 @@
             warmup_s=0.0,
             started_ms=box.target.started_ms,
         )
-        self.line.feed(box, heartbeat)
+        self.timeline.feed(box, heartbeat)
 
-    def acknowledged(self, conn: int, *, accepted: bool) -> None:
+    def heartbeat_acknowledged(self, conn: int, *, accepted: bool) -> None:
         """Pass the answer to a report on to whoever waits for it."""
         answered = self.acks.pop(conn, None)
         if answered is not None:
@@ -168,7 +172,7 @@
                 request_id=effect.request_id,
                 box=box.name,
                 target_id=target.target_id,
-                at=self.line.now,
+                at=self.timeline.now,
                 ran=runs,
                 left_s=effect.left_s,
                 team=effect.team,
@@ -179,7 +183,7 @@
             failed = events.TargetFailed(
                 dispatch=effect.dispatch, sent=False, refused=True, detail="refused"
             )
-            self.line.feed_later(box, failed, ANSWER_S)
+            self.timeline.feed_later(box, failed, ANSWER_DELAY_S)
             return
         if not runs:
             facts = events.AnswerFacts(not_run=True, target_id=target.target_id)
@@ -192,75 +196,75 @@
         return (
             target.up
             and effect.target_id == target.target_id
-            and len(target.at_work) < target.slots
+            and len(target.running) < target.slots
             and not target.sheds
-            and self.line.rng.random() >= target.sheds_share
+            and self.timeline.rng.random() >= target.shed_ratio
         )
 
     def _start(self, box: boxes.Box, effect: effects.Dispatch) -> None:
         target = box.target
-        target.at_work[effect.dispatch] = self.line.env.event()
-        factor = 0.5 + self.line.rng.random()
-        working = Working(
+        target.running[effect.dispatch] = self.timeline.env.event()
+        factor = 0.5 + self.timeline.rng.random()
+        execution = Execution(
             box=box,
             target=target,
             effect=effect,
-            ends=self.line.now + int(1000 * effect.left_s) / 1000,
+            ends=self.timeline.now + int(1000 * effect.left_s) / 1000,
             incarnation=box.incarnation,
         )
         work_s = target.service_time_s(effect.path) * factor
-        self.line.after(work_s, lambda: self._call_next(working))
+        self.timeline.after(work_s, lambda: self._call_next(execution))
 
-    def _call_next(self, working: Working) -> None:
+    def _call_next(self, execution: Execution) -> None:
         """Make the next call of a run, or end it after the last one."""
-        if working.over:
+        if execution.ended:
             return
-        box, target, effect = working.box, working.target, working.effect
+        box, target, effect = execution.box, execution.target, execution.effect
         path = effect.path
         calls = next((one for one in target.calls if path.startswith(one.of)), None)
         if path.startswith(target.lethal):
             self.crash(box, target.down_s)
             return
-        if calls is None or working.calls_made == calls.times:
-            self._finish(working)
+        if calls is None or execution.completed_calls == calls.times:
+            self._finish(execution)
             return
-        left_s = min(calls.deadline_s, working.ends - self.line.now)
+        left_s = min(calls.deadline_s, execution.ends - self.timeline.now)
         left_s = int(1000 * left_s) / 1000
         if left_s <= 0:
-            self._call_failed(working)
+            self._fail_call(execution)
             return
         req = self.callers.request(
             box,
             host=dict(effect.fields).get("host", self.call_host),
             path=calls.path,
             deadline_s=left_s,
-            run_id=effect.request_id if self.calls_named else "",
+            run_id=effect.request_id if self.calls_carry_run_id else "",
         )
 
-        def go_on() -> None:
+        def continue_run() -> None:
             if req.answer.status == 200:
-                working.calls_made += 1
-                self._call_next(working)
+                execution.completed_calls += 1
+                self._call_next(execution)
             else:
-                self._call_failed(working)
+                self._fail_call(execution)
 
-        req.then = go_on
+        req.then = continue_run
         if req.answer is not None:
-            go_on()
+            continue_run()
 
-    def _call_failed(self, working: Working) -> None:
-        dispatch = working.effect.dispatch
-        if working.target.at_work.pop(dispatch, None) is not None:
-            target_id = working.target.target_id
+    def _fail_call(self, execution: Execution) -> None:
+        dispatch = execution.effect.dispatch
+        if execution.target.running.pop(dispatch, None) is not None:
+            target_id = execution.target.target_id
             facts = events.AnswerFacts(confirmed_complete=True, target_id=target_id)
-            self._answer(working.box, dispatch, 500, facts)
+            self._answer(execution.box, dispatch, 500, facts)
 
-    def _finish(self, working: Working) -> None:
-        box, target = working.box, working.target
-        dispatch = working.effect.dispatch
-        del target.at_work[dispatch]
+    def _finish(self, execution: Execution) -> None:
+        box, target = execution.box, execution.target
+        dispatch = execution.effect.dispatch
+        del target.running[dispatch]
         if target.loses_answers:
-            self.line.feed(box, lost(dispatch, "lost"))
+            self.timeline.feed(box, lost(dispatch, "lost"))
             return
         facts = events.AnswerFacts(confirmed_complete=True, target_id=target.target_id)
         self._answer(box, dispatch, 500 if target.fails else 200, facts)
@@ -277,12 +281,12 @@
             total=5,
             facts=facts,
         )
-        self.line.feed_later(box, answered, ANSWER_S)
+        self.timeline.feed_later(box, answered, ANSWER_DELAY_S)
 
-    def _start_again(self, box: boxes.Box, crashed: boxes.Target) -> None:
+    def _restart(self, box: boxes.Box, crashed: boxes.Target) -> None:
         if box.target is crashed:
-            self.replace(box, same_id=crashed.keeps_id)
-            self.report(
+            self.replace(box, same_id=crashed.reuse_id)
+            self.send_heartbeat(
                 box, ready=True, terminating=False, answered=lambda accepted: None
             )
 
--- a/tests/mesh/simulation/timeline.py
+++ b/tests/mesh/simulation/timeline.py
@@ -12,7 +12,7 @@
 from ferrydeck.mesh import effects, events
 from tests.mesh.simulation import box as boxes
 
-AWAKE_S = 1e-6
+THAW_DELAY_S = 1e-6
 """How long after a box thaws its waiting events are fed to it, seconds."""
 
 
@@ -56,7 +56,7 @@
         if not box.up:
             return
         if self.now < box.frozen_until:
-            self.feed_later(box, event, box.frozen_until - self.now + AWAKE_S)
+            self.feed_later(box, event, box.frozen_until - self.now + THAW_DELAY_S)
             return
         self.carry_out(box, box.core.handle(self.clock(box), event))
 
--- a/tests/mesh/simulation/world.py
+++ b/tests/mesh/simulation/world.py
@@ -12,7 +12,7 @@
 from tests.mesh.simulation import box as boxes
 from tests.mesh.simulation import callers, links, store, targets, timeline
 
-REJECTIONS = frozenset({429, 503, 408, 421})
+REJECTION_STATUSES = frozenset({429, 503, 408, 421})
 
 
 @attrs.define(kw_only=True)
@@ -23,7 +23,7 @@
     limits: context.Limits = context.Limits()
     clock_skew_s: float = 0.0
     """How far the clocks of two boxes lie apart, seconds."""
-    calls_named: bool = False
+    calls_carry_run_id: bool = False
     """Whether targets name a call after the run that makes it."""
     call_host: str = ""
     """The host that targets' calls name."""
@@ -37,13 +37,13 @@
 
     def __attrs_post_init__(self) -> None:
         super().__attrs_post_init__()
-        self.callers = callers.Callers(line=self)
-        self.links = links.Links(line=self)
-        self.store = store.Store(line=self)
+        self.callers = callers.Callers(timeline=self)
+        self.links = links.Links(timeline=self)
+        self.store = store.Store(timeline=self)
         self.targets = targets.Targets(
-            line=self,
+            timeline=self,
             callers=self.callers,
-            calls_named=self.calls_named,
+            calls_carry_run_id=self.calls_carry_run_id,
             call_host=self.call_host,
         )
 
@@ -64,15 +64,15 @@
         self.boxes[name] = box
         self.links.by_address[address] = box
         self.carry_out(box, box.core.start(self.clock(box)))
-        self.targets.report_forever(box)
+        self.targets.send_heartbeats(box)
         return box
 
     def kill(self, box: boxes.Box, down_s: float = 0.5) -> None:
         """Kill a daemon and start it again after some time."""
         box.up = False
         box.incarnation += 1
-        self.callers.lose_daemon(box)
-        box.target.at_work.clear()
+        self.callers.daemon_killed(box)
+        box.target.running.clear()
         for other in self.boxes.values():
             self.links.drop(box, other)
         self.after(down_s, lambda: self._restart(box))
@@ -84,7 +84,7 @@
     def carry_out(self, box: boxes.Box, wanted: list[effects.Effect]) -> None:
         """Do what a core asks for, and wake it when it wants to be woken."""
         for effect in wanted:
-            self._do(box, effect)
+            self._carry_out_one(box, effect)
         wake = box.core.next_wake()
         if wake is not None and (box.wake_at is None or wake < box.wake_at):
             box.wake_at = wake
@@ -113,8 +113,8 @@
             box.name, box.data_centre, box.address, box.core.identity.service
         )
         box.up = True
-        box.links_out.clear()
-        box.links_in.clear()
+        box.outgoing_links.clear()
+        box.incoming_links.clear()
         box.wake_at = None
         self.carry_out(box, box.core.start(self.clock(box)))
 
@@ -123,7 +123,7 @@
             box.wake_at = None
             self.feed(box, events.TimersDue())
 
-    def _do(self, box: boxes.Box, effect: effects.Effect) -> None:
+    def _carry_out_one(self, box: boxes.Box, effect: effects.Effect) -> None:
         match effect:
             case effects.Dial(address=address):
                 self.links.dial(box, address)
@@ -136,7 +136,7 @@
             case effects.Dispatch():
                 self.targets.dispatch(box, effect)
             case effects.CancelDispatch(dispatch=dispatch):
-                box.target.at_work.pop(dispatch, None)
+                box.target.running.pop(dispatch, None)
             case effects.Probe():
                 self.targets.probe(box)
             case effects.Reply():
@@ -144,7 +144,7 @@
             case effects.Reject():
                 self._reject(box, effect)
             case effects.AckHeartbeat(conn=conn, accepted=accepted):
-                self.targets.acknowledged(conn, accepted=accepted)
+                self.targets.heartbeat_acknowledged(conn, accepted=accepted)
             case effects.CallStore(request=request):
                 self.store.ask(box, request)
             case effects.ReadPolicy(source=source):
@@ -189,7 +189,7 @@
         answer = req.answer
         if answer is None:
             continue
-        rejected = answer.status in REJECTIONS
+        rejected = answer.status in REJECTION_STATUSES
         if rejected and req.once and ran[req.request_id]:
             found.append(f"REFUSED {req.request_id}: {answer.reason}")
         if answer.status == 200 and not ran[req.request_id]:
--- a/tests/mesh/teams/fleets.py
+++ b/tests/mesh/teams/fleets.py
@@ -70,7 +70,7 @@
     """Return a world of boxes with a `desk` target each, after `settle_s` seconds."""
     values = {"slots": 1000, "work_s": 0.02} | target
     made = simulation.World(seed=seed, limits=TERMS, clock_skew_s=977.0)
-    made.store.use(policy_of(*teams))
+    made.store.set_policy(policy_of(*teams))
     for index in range(boxes):
         made.add_box(f"box-{index}", f"hall-{index % data_centres}", "desk", **values)
     made.run(settle_s)
--- a/tests/mesh/teams/schedules.py
+++ b/tests/mesh/teams/schedules.py
@@ -85,7 +85,7 @@
             fleets.team_keys(name, *team_keys, rate=self.rates[name])
             for name, team_keys in self.keys.items()
         ]
-        self.world.store.use(fleets.policy_of(*teams, version=self._version))
+        self.world.store.set_policy(fleets.policy_of(*teams, version=self._version))
         for name, rate in self.rates.items():
             self.rate_changes.setdefault(name, []).append((self.world.now, rate))
         for name, team_keys in self.keys.items():
@@ -151,7 +151,7 @@
 
     def _partition_data_centre(self) -> None:
         data_centre = f"hall-{self.rng.randrange(HALLS)}"
-        self._partition(links.around(data_centre))
+        self._partition(links.isolate_data_centre(data_centre))
 
     def _partition_box(self) -> None:
         box = self._random_box()
@@ -168,7 +168,7 @@
         self.world.after(self.rng.uniform(1.0, 9.0), self._end_partition)
 
     def _end_partition(self) -> None:
-        self.world.links.mend()
+        self.world.links.heal()
         self.world.store.cut = lambda one: False
 
     def _stop_store(self) -> None:
@@ -180,11 +180,11 @@
 
     def _reject_store_calls(self) -> None:
         rejected = {self._random_box().name for _ in range(3)}
-        self.world.store.refuses = lambda box: box.name in rejected
+        self.world.store.rejects = lambda box: box.name in rejected
         self.world.after(self.rng.uniform(1.0, 9.0), self._accept_store_calls)
 
     def _accept_store_calls(self) -> None:
-        self.world.store.refuses = lambda box: False
+        self.world.store.rejects = lambda box: False
 
 
 def run(seed: int, *, seconds: float = 24.0, faults: bool = True) -> Schedule:
--- a/tests/mesh/teams/test_access.py
+++ b/tests/mesh/teams/test_access.py
@@ -49,7 +49,7 @@
 
 def test_key_moves_to_another_team():
     world = fleets.world_of(fleets.team_keys(), fleets.team_keys("mill"))
-    world.store.use(
+    world.store.set_policy(
         fleets.policy_of(
             fleets.team_keys("farm", "other"), fleets.team_keys("mill", KEY), version=9
         )
--- a/tests/mesh/teams/test_policy_freshness.py
+++ b/tests/mesh/teams/test_policy_freshness.py
@@ -49,7 +49,7 @@
 def test_daemons_rejected_by_store_get_confirmations_from_others():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=5.0)
     rejected = {"box-0", "box-1", "box-2"}
-    world.store.refuses = lambda box: box.name in rejected
+    world.store.rejects = lambda box: box.name in rejected
     oldest = 0.0
     for _ in range(90):
         world.run(0.1)
@@ -59,9 +59,11 @@
 
 def test_revocation_reaches_daemons_rejected_by_store():
     world = fleets.world_of(fleets.team_keys(), boxes=9, data_centres=3, settle_s=5.0)
-    world.store.refuses = lambda box: box.name == "box-0"
+    world.store.rejects = lambda box: box.name == "box-0"
     world.run(3.0)
-    world.store.use(fleets.policy_of(fleets.team_keys("farm", "another"), version=9))
+    world.store.set_policy(
+        fleets.policy_of(fleets.team_keys("farm", "another"), version=9)
+    )
     world.run(2.5)
     request = fleets.ask(world, "box-0", KEY)
     world.run(0.5)
--- a/tests/mesh/teams/test_quota.py
+++ b/tests/mesh/teams/test_quota.py
@@ -111,7 +111,7 @@
     world = world_of()
     send_load(world, 0.9 * RATE, 5.0)
     lower = fleets.team_keys(rate=RATE / 4)
-    world.store.use(fleets.policy_of(lower, version=9))
+    world.store.set_policy(fleets.policy_of(lower, version=9))
     send_load(world, 0.9 * RATE, 5.0)
     world.targets.runs.clear()
     send_load(world, 0.9 * RATE, 8.0)
--- a/tests/mesh/test_calls_of_retries.py
+++ b/tests/mesh/test_calls_of_retries.py
@@ -17,7 +17,7 @@
 
 def chain_of(seed: int, *, levels: int = 3) -> simulation.World:
     """Return a chain of services, in which each run makes calls to the next service."""
-    world = simulation.World(seed=seed, call_host=samples.HOST, calls_named=True)
+    world = simulation.World(seed=seed, call_host=samples.HOST, calls_carry_run_id=True)
     names = ["desk", "mid", "deep"][:levels]
     routes = [
         samples.route(
@@ -25,7 +25,7 @@
         )
         for name in names
     ]
-    world.store.use(samples.policy_of(*routes))
+    world.store.set_policy(samples.policy_of(*routes))
     for level, name in enumerate(names):
         callees = names[level + 1 : level + 2]
         calls = tuple(
@@ -90,7 +90,7 @@
 def make_targets_shed(world: simulation.World, *services: str) -> None:
     for box in world.boxes.values():
         if box.target.service in services:
-            box.target.sheds_share = SHED_RATIO
+            box.target.shed_ratio = SHED_RATIO
 
 
 # Guards against uncounted calls of runs that started after another target had rejected
--- a/tests/mesh/test_deadlines.py
+++ b/tests/mesh/test_deadlines.py
@@ -9,18 +9,18 @@
     world = samples.world_of(2, work_s=1.0)
     request = samples.ask(world, "box-0")
     world.run(0.1)
-    world.callers.leave(request)
+    world.callers.disconnect(request)
     world.run(0.05)
-    assert not any(box.target.at_work for box in world.boxes.values())
+    assert not any(box.target.running for box in world.boxes.values())
 
 
 def test_a_non_retryable_request_runs_on_when_its_caller_disconnects():
     world = samples.world_of(2, work_s=0.5)
     request = samples.post(world, "box-0")
     world.run(0.1)
-    world.callers.leave(request)
+    world.callers.disconnect(request)
     world.run(0.05)
-    assert any(box.target.at_work for box in world.boxes.values())
+    assert any(box.target.running for box in world.boxes.values())
 
 
 def test_a_request_times_out_at_the_timeout_of_its_route():
--- a/tests/mesh/test_incarnations.py
+++ b/tests/mesh/test_incarnations.py
@@ -90,7 +90,7 @@
 
 
 def test_restarted_target_serves_requests_under_its_id():
-    world = samples.world_of(1, started_ms=BORN, keeps_id=True)
+    world = samples.world_of(1, started_ms=BORN, reuse_id=True)
     box = world.boxes["box-0"]
     for _ in range(3):
         world.targets.crash(box, 0.5)
@@ -101,7 +101,7 @@
 
 
 def test_request_in_flight_at_crash_may_have_run():
-    world = samples.world_of(1, started_ms=BORN, keeps_id=True, work_s=0.4)
+    world = samples.world_of(1, started_ms=BORN, reuse_id=True, work_s=0.4)
     box = world.boxes["box-0"]
     request = samples.post(world, "box-0")
     world.run(0.05)
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -24,7 +24,7 @@
 def test_target_stays_leaving_after_its_daemon_is_killed():
     world = samples.world_of(3)
     leaving = world.boxes["box-1"]
-    world.targets.drain(leaving, by_leave=True)
+    world.targets.drain(leaving, deregister=True)
     world.run(0.2)
     world.kill(leaving, 0.3)
     killed_at = world.now
@@ -42,7 +42,7 @@
     world.targets.drain(leaving)
     world.run(0.1)
     leaving.sequence = 0
-    world.targets.report(
+    world.targets.send_heartbeat(
         leaving, ready=True, terminating=False, answered=lambda accepted: None
     )
     world.run(0.1)
@@ -98,7 +98,7 @@
     world.targets.drain(leaving)
     world.run(0.1)
     leaving.sequence += 10
-    world.targets.report(
+    world.targets.send_heartbeat(
         leaving, ready=True, terminating=False, answered=lambda accepted: None
     )
     world.run(0.1)
--- a/tests/mesh/test_lost_boxes.py
+++ b/tests/mesh/test_lost_boxes.py
@@ -56,7 +56,7 @@
     requests = samples.load(world, "box-0", 50, every_s=0.05)
     world.run(2)
     assert samples.statuses(requests) == [200] * 50
-    world.links.mend()
+    world.links.heal()
     world.run(4)
     link_states = [
         peer.link
--- a/tests/mesh/test_overload.py
+++ b/tests/mesh/test_overload.py
@@ -37,7 +37,7 @@
     world = samples.world_of(1, slots=3, work_s=0.1)
     for _ in range(50):
         samples.ask(world, "box-0")
-        assert len(world.boxes["box-0"].target.at_work) <= 3
+        assert len(world.boxes["box-0"].target.running) <= 3
         world.run(0.01)
     assert all(run.ran for run in world.targets.runs)
 
--- a/tests/mesh/test_policy_in_force.py
+++ b/tests/mesh/test_policy_in_force.py
@@ -29,16 +29,16 @@
     world = samples.world_of(3)
     isolated = world.boxes["box-1"]
     world.store.cut = lambda box: box is isolated
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.run(1.5)
     assert [box.core.ctx.version for box in world.boxes.values()] == [9, 9, 9]
 
 
 def test_older_policy_is_ignored():
     world = samples.world_of(2)
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.run(1)
-    world.store.use(samples.policy_of(samples.route("old"), version=8))
+    world.store.set_policy(samples.policy_of(samples.route("old"), version=8))
     world.run(1)
     assert {box.core.ctx.version for box in world.boxes.values()} == {9}
 
@@ -62,7 +62,7 @@
         policy.SplitPart(service="desk", weight=90),
         policy.SplitPart(service="book", weight=10),
     )
-    world.store.use(samples.policy_of(samples.route(parts=parts)))
+    world.store.set_policy(samples.policy_of(samples.route(parts=parts)))
     world.add_box("box-0", "hall-0", "desk")
     world.add_box("box-1", "hall-0", "book")
     world.run(2)
--- a/tests/mesh/test_registry.py
+++ b/tests/mesh/test_registry.py
@@ -24,7 +24,7 @@
 def test_policy_reaches_daemons_that_do_not_watch():
     world = samples.world_of(12, data_centres=2)
     world.run(20)
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.run(0.5)
     assert {box.core.ctx.version for box in world.boxes.values()} == {9}
 
@@ -35,7 +35,7 @@
     for name in ("box-0", "box-1", "box-2", "box-3"):
         world.kill(world.boxes[name], 30)
     world.run(1)
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.run(1)
     assert {world.boxes[name].core.ctx.version for name in ("box-4", "box-5")} == {9}
 
@@ -55,7 +55,7 @@
     world = samples.world_of(6)
     world.run(20)
     world.store.up = False
-    world.store.lapse_leases()
+    world.store.expire_leases()
     world.run(5)
     assert world.store.records == {}
     world.store.up = True
@@ -66,7 +66,7 @@
 def test_rejected_daemon_calls_store_at_most_once_per_second():
     world = samples.world_of(6)
     world.run(20)
-    world.store.refuses = lambda box: box.name in ("box-1", "box-2")
+    world.store.rejects = lambda box: box.name in ("box-1", "box-2")
     world.run(4)
     before = dict(world.store.calls)
     world.run(10)
@@ -77,11 +77,11 @@
 def test_records_are_back_two_seconds_after_rejections_end():
     world = samples.world_of(6)
     world.run(20)
-    world.store.refuses = lambda box: True
-    world.store.lapse_leases()
+    world.store.rejects = lambda box: True
+    world.store.expire_leases()
     world.run(9)
     assert world.store.records == {}
-    world.store.refuses = lambda box: False
+    world.store.rejects = lambda box: False
     world.run(2)
     assert len(world.store.records) == 6
 
@@ -113,8 +113,8 @@
     ]
     assert len(watching) == 4
     world.store.cut = lambda box: box.name in watching
-    world.links.cut = links.around("hall-0")
+    world.links.cut = links.isolate_data_centre("hall-0")
     world.run(4.0)
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.run(2.0)
     assert {box.core.ctx.version for box in world.boxes.values()} == {9}
--- a/tests/mesh/test_retry_exchange.py
+++ b/tests/mesh/test_retry_exchange.py
@@ -20,7 +20,7 @@
     monkeypatch.setattr(messages, "encode", counted)
     world = samples.world_of(4, data_centres=2, slots=30)
     for box in world.boxes.values():
-        box.target.sheds_share = 0.5
+        box.target.shed_ratio = 0.5
     return world, sent
 
 
@@ -51,7 +51,7 @@
 def test_no_counts_are_sent_without_shedding(monkeypatch):
     world, sent = shedding_world(monkeypatch)
     for box in world.boxes.values():
-        box.target.sheds_share = 0.0
+        box.target.shed_ratio = 0.0
     samples.load(world, "box-0", 300)
     assert sent["RetryCounts"] == 0
 
--- a/tests/mesh/test_shed_service.py
+++ b/tests/mesh/test_shed_service.py
@@ -19,12 +19,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_retries_go_to_the_most_urgent_team_and_to_runs_in_progress(seed):
-    chain = chains.chain_of(scale=0.6, seed=seed, spec=chains.SHIFTED, calls_named=True)
+    chain = chains.chain_of(
+        scale=0.6, seed=seed, spec=chains.SHIFTED, calls_carry_run_id=True
+    )
     chain.load(times=1.0, seconds=5)
     shedding_start = chain.world.now
     deep = [box for box in chain.world.boxes.values() if box.target.service == "deep"]
     for box in deep:
-        box.target.sheds_share = SHED_RATIO
+        box.target.shed_ratio = SHED_RATIO
     chain.load(times=1.0, seconds=4)
     shedding_end = chain.world.now
     chain.world.run(2)
--- a/tests/mesh/test_store_era.py
+++ b/tests/mesh/test_store_era.py
@@ -17,7 +17,7 @@
     """Give all daemons a revision that the returned copy of the store lacks."""
     copy = world.store.copy()
     world.store.write(LOST_CHANGES - 1)
-    world.store.use(samples.policy_of(samples.route(), version=6))
+    world.store.set_policy(samples.policy_of(samples.route(), version=6))
     world.run(3.0)
     return copy
 
@@ -29,7 +29,7 @@
     world.store.restore(copy)
     world.run(outage_s)
     world.store.up = True
-    world.store.use(newest)
+    world.store.set_policy(newest)
 
 
 def versions(world) -> set[int]:
@@ -44,7 +44,7 @@
     world.run(10.0)
     restore_store(world, write_changes(world))
     new = samples.policy_of(samples.route("new"), version=9)
-    world.store.use(new)
+    world.store.set_policy(new)
     world.store.write(passed)
     world.run(POLICY_TIMEOUT_S)
     assert versions(world) == {9}
@@ -55,9 +55,9 @@
 def test_restore_that_keeps_watches_is_seen_by_next_answer():
     world = samples.world_of(12, data_centres=2)
     world.run(10.0)
-    world.store.restore(write_changes(world), cuts_watches=False)
+    world.store.restore(write_changes(world), close_watches=False)
     world.run(3.0)
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.store.write(40)
     world.run(POLICY_TIMEOUT_S)
     assert versions(world) == {9}
@@ -81,12 +81,12 @@
 def test_older_policy_of_copy_is_ignored():
     world = samples.world_of(6, data_centres=2)
     copy = world.store.copy()
-    world.store.use(samples.policy_of(samples.route("new"), version=9))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=9))
     world.run(2.0)
     world.store.restore(copy)
     world.run(8.0)
     assert versions(world) == {9}
-    world.store.use(samples.policy_of(samples.route("new"), version=11))
+    world.store.set_policy(samples.policy_of(samples.route("new"), version=11))
     world.run(POLICY_TIMEOUT_S)
     assert versions(world) == {11}
 
@@ -112,12 +112,12 @@
     world = fleets.world_of(fleets.team_keys(), boxes=1, settle_s=5.0)
     box = world.boxes["box-0"]
     copy = world.store.copy()
-    world.store.use(fleets.policy_of(fleets.team_keys(), version=6))
+    world.store.set_policy(fleets.policy_of(fleets.team_keys(), version=6))
     world.run(3.0)
     current = box.core.ctx.policy
     assert (current.version, current.revision) == (6, world.store.revision)
-    world.store.restore(copy, cuts_watches=False)
-    world.store.use(
+    world.store.restore(copy, close_watches=False)
+    world.store.set_policy(
         fleets.policy_of(fleets.team_keys("farm", "another"), version=9),
     )
     assert world.store.revision == current.revision
@@ -132,12 +132,12 @@
     world = fleets.world_of(fleets.team_keys(), boxes=1, settle_s=5.0)
     box = world.boxes["box-0"]
     copy = world.store.copy()
-    world.store.use(fleets.policy_of(fleets.team_keys(), version=6))
+    world.store.set_policy(fleets.policy_of(fleets.team_keys(), version=6))
     world.run(3.0)
     world.store.restore(copy)
     world.run(fleets.REVOCATION_S + 1.0)
     assert box.core.ctx.version == 6
     assert not box.core.policy_freshness.is_fresh(world.clock(box))
-    world.store.use(fleets.policy_of(fleets.team_keys(), version=6))
+    world.store.set_policy(fleets.policy_of(fleets.team_keys(), version=6))
     world.run(2.0)
     assert box.core.policy_freshness.is_fresh(world.clock(box))
--- a/tests/mesh/test_surge.py
+++ b/tests/mesh/test_surge.py
@@ -15,7 +15,7 @@
     call = samples.route("call", priority=1, parts=deep)
     plain = samples.route("plain")
     long = samples.route("long", parts=deep)
-    world.store.use(samples.policy_of(look, post, call, plain, long))
+    world.store.set_policy(samples.policy_of(look, post, call, plain, long))
     calls = tuple(
         simulation.Calls(of=of, path="/call/1", times=2, deadline_s=3.0)
         for of in ("/look/", "/pay/")
@@ -70,7 +70,7 @@
     for seed in range(1, 5):
         world = chain_of(seed)
         send_load(world, per_s=20, seconds=10)
-        world.boxes["box-1"].target.sheds_share = 0.5
+        world.boxes["box-1"].target.shed_ratio = 0.5
         looks, posts, _ = send_load(world, per_s=20, seconds=8)
         world.run(2)
         served += [post.answer.status == 200 for post in posts]
@@ -83,7 +83,7 @@
 def test_shed_requests_are_retried_within_the_budget_and_the_attempt_limit():
     world = samples.world_of(4, slots=30)
     for box in world.boxes.values():
-        box.target.sheds_share = 0.55
+        box.target.shed_ratio = 0.55
     requests = samples.load(world, "box-0", 600, every_s=0.01)
     world.run(2)
     served = samples.statuses(requests).count(200)
--- a/tests/mesh/test_target_watch.py
+++ b/tests/mesh/test_target_watch.py
@@ -25,7 +25,7 @@
     world.kill(box, 0.3)
     world.run(0.4)
     box.target.leaving = True
-    world.targets.report(
+    world.targets.send_heartbeat(
         box, ready=True, terminating=False, answered=lambda accepted: None
     )
     world.run(4)
@@ -35,7 +35,7 @@
 def test_a_successful_health_check_does_not_open_an_incarnation_that_left():
     world = samples.world_of(3)
     box = world.boxes["box-1"]
-    world.targets.drain(box, by_leave=True)
+    world.targets.drain(box, deregister=True)
     world.run(0.2)
     box.target.health = True
     world.kill(box, 0.3)
