--- a/tests/mesh/faults.py
+++ b/tests/mesh/faults.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults for a world of daemons, and what must hold in them."""
+"""Randomized fault injection for simulated daemons, with invariant checks."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 DRAIN_TIMEOUT_S = 2.0
 STEP_S = 0.02
 RECOVERY_S = 8.0
-"""Time without faults at the end, after which all must be served again, seconds."""
+"""Fault-free time at the end, in which service must recover, seconds."""
 
 
 @attrs.define(kw_only=True)
 class ScheduleResult:
-    """A schedule that was played: what broke, and how much was served."""
+    """Violations and served requests of a fault schedule."""
 
     seed: int
     faults: list[str]
     requests: int
     served: int
     recovered: float
-    """Share served of the requests in the last two seconds."""
+    """Fraction served of the requests in the last two seconds."""
     schedule: list[str]
 
 
 def policy_of(version: int) -> policy.Policy:
-    """Return a policy with a lookup and a posting at one service."""
+    """Return a policy with a safe route and an at-most-once route."""
     return samples.policy_of(samples.route(), samples.pay(), version=version)
 
 
 @attrs.define(kw_only=True)
 class Schedule:
-    """Draws faults one after the other and lets them end."""
+    """Injects random faults and ends them."""
 
     world: simulation.World
     rng: random.Random
     done: list[str] = attrs.Factory(list)
     leaving: dict[str, float] = attrs.Factory(dict)
-    """Ids of targets that leave, with the time of the acknowledgement."""
+    """Acknowledgement time of draining targets, by target id."""
     _version: int = 4
 
     def inject_fault(self) -> None:
-        """Begin a fault that was drawn."""
+        """Inject a random fault."""
         kinds = [
             self._kill,
             self._freeze,
@@ -68,7 +68,7 @@
         kind()
 
     def clear_faults(self) -> None:
-        """End all faults that do not end by themselves."""
+        """End all faults that do not end on their own."""
         world = self.world
         world.store.up = True
         world.links.heal()
@@ -184,7 +184,7 @@
 
 
 def run_schedule(seed: int, *, boxes: int = 6, seconds: float = 20.0) -> ScheduleResult:
-    """Play a schedule drawn from a seed and check what callers and targets saw."""
+    """Run the fault schedule of a seed and check the invariants."""
     rng = random.Random(seed)
     world = simulation.World(seed=seed)
     world.store.set_policy(policy_of(4))
@@ -244,7 +244,7 @@
 
 
 def served(req: simulation.Request) -> bool:
-    """Tell whether a caller got a whole answer."""
+    """Return whether a caller received a complete answer."""
     return req.answer is not None and req.answer.status == 200
 
 
@@ -258,7 +258,7 @@
 
 
 def _unanswered(world: simulation.World) -> list[str]:
-    """Return callers without a final answer though their daemon ran on."""
+    """Return requests without a final answer although their daemon kept running."""
     return [
         f"UNANSWERED {one.request_id} at {one.box}"
         for one in world.callers.requests.values()
@@ -267,7 +267,7 @@
 
 
 def over_budget(world: simulation.World) -> list[str]:
-    """Return the window with most retries beyond what was agreed for it."""
+    """Return the window that exceeds the retry budget most, if any."""
     limits = world.limits
     seen: set[str] = set()
     retries = []
@@ -288,5 +288,5 @@
 
 
 def _in_window(times: list[float], end: float, window_s: float) -> int:
-    """Return how many of the sorted times lie in the window that ends at `end`."""
+    """Return the number of sorted times in the window that ends at `end`."""
     return bisect.bisect_right(times, end) - bisect.bisect_right(times, end - window_s)
--- a/tests/mesh/samples.py
+++ b/tests/mesh/samples.py
@@ -1,4 +1,4 @@
-"""Policies and worlds for the tests of daemons under a policy from the store."""
+"""Sample policies, simulated worlds and requests for the mesh tests."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 def world_of(
     boxes: int = 3, *, seed: int = 1, data_centres: int = 1, **target: object
 ) -> simulation.World:
-    """Return a world of boxes with a target of `desk` each, two seconds old."""
+    """Return a world of boxes with a `desk` target each, after two seconds."""
     made = simulation.World(seed=seed)
     made.store.set_policy(policy_of(route(), pay()))
     for index in range(boxes):
@@ -59,12 +59,12 @@
 
 
 def statuses(requests: list[simulation.Request]) -> list[int]:
-    """Return the status of each request, 0 where no answer has come."""
+    """Return the status of each request, 0 for those without an answer."""
     return [req.answer.status if req.answer else 0 for req in requests]
 
 
 def load(world, box, count, *, every_s=0.01, send=None, **more):
-    """Send requests one after the other while time passes."""
+    """Send requests at regular intervals."""
     requests = []
     for _ in range(count):
         requests.append((send or ask)(world, box, **more))
--- a/tests/mesh/simulation/__init__.py
+++ b/tests/mesh/simulation/__init__.py
@@ -1,8 +1,7 @@
-"""Several cores of daemons under virtual time, with links, targets and a store.
+"""Discrete-event simulation of several daemons, with links, targets and a store.
 
-Everything that a core asks for is carried out here by simple fakes: links with a
-delay and cuts, targets with slots and incarnations, a store with its faults. What
-callers were answered and what targets ran is recorded for the checks.
+Fakes carry out the effects of the cores in virtual time and inject faults. Answers to
+callers and runs at targets are recorded for the checks.
 """
 
 from __future__ import annotations
--- a/tests/mesh/simulation/box.py
+++ b/tests/mesh/simulation/box.py
@@ -1,4 +1,4 @@
-"""The state of a simulated box: its daemon's core, and the target beside it."""
+"""State of a simulated box: the core of its daemon and its target."""
 
 from __future__ import annotations
 
@@ -10,49 +10,49 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Calls:
-    """The calls that each run of a route makes, in turn."""
+    """Calls that each run of a route makes, one after the other."""
 
     of: str
-    """Prefix of the paths whose runs make them."""
+    """Path prefix of the runs that make the calls."""
     path: str
     times: int
     deadline_s: float
-    """How long a call waits at most; it also ends with its run, seconds."""
+    """Timeout of a call, which also ends with its run, seconds."""
 
 
 @attrs.define(kw_only=True)
 class Target:
-    """The target beside a daemon."""
+    """The target on a box."""
 
     target_id: str
     service: str
     started_ms: int = 0
-    """When it was born, milliseconds; 0 for one that does not report it."""
+    """Start time, milliseconds; 0 for a target that does not report it."""
     slots: int = 8
     work_s: float = 0.05
     work_s_by_prefix: tuple[tuple[str, float], ...] = ()
-    """Prefixes of paths whose runs take another time, with that time in seconds."""
+    """Path prefixes with a different service time, in seconds."""
     up: bool = True
     leaving: bool = False
     health: bool | None = None
-    """What its health check says, where it is wrong; `None` where it is right."""
+    """Result of a false health check; `None` for a correct one."""
     loses_answers: bool = False
     sheds: bool = False
     shed_ratio: float = 0.0
     fails: bool = False
     calls: tuple[Calls, ...] = ()
     lethal: tuple[str, ...] = ()
-    """Prefixes of paths whose runs crash the target in place of an answer."""
+    """Path prefixes of requests that crash the target."""
     down_s: float = 1.0
-    """How long it is away when such a run has crashed it, seconds."""
+    """Restart time after such a crash, seconds."""
     reuse_id: bool = False
-    """Whether it starts again under its id."""
+    """Whether it restarts under the same id."""
     crashes: int = 0
-    """How often its incarnations have crashed."""
+    """Number of crashes of all its incarnations."""
     running: dict[int, simpy.Event] = attrs.Factory(dict)
 
     def service_time_s(self, path: str) -> float:
-        """Return how long a run takes at the mean, its calls not counted, seconds."""
+        """Return the mean service time of a run without its calls, seconds."""
         return next(
             (s for of, s in self.work_s_by_prefix if path.startswith(of)), self.work_s
         )
@@ -60,7 +60,7 @@
 
 @attrs.define(kw_only=True)
 class Box:
-    """A daemon with the target beside it."""
+    """A daemon and its target."""
 
     name: str
     data_centre: str
@@ -70,12 +70,12 @@
     up: bool = True
     frozen_until: float = 0.0
     outgoing_links: dict[str, int] = attrs.Factory(dict)
-    """Numbers, at the other side, of the links that this box dialled, by address."""
+    """Link numbers at the other side, by address of the other box."""
     incoming_links: dict[int, str] = attrs.Factory(dict)
-    """Addresses of the boxes that dialled this one, by number of the link."""
+    """Addresses of the connected boxes, by link number."""
     wake_at: float | None = None
     sequence: int = 0
     incarnation: int = 0
-    """Rises with each start of the daemon."""
+    """Increases with each start of the daemon."""
     clock_offset_s: float = 0.0
-    """How far its clock is ahead of the world's, seconds: boxes' clocks differ."""
+    """Offset of its clock from simulated time, seconds."""
--- a/tests/mesh/simulation/callers.py
+++ b/tests/mesh/simulation/callers.py
@@ -1,4 +1,4 @@
-"""The callers of a simulated world: what they ask, and what they are answered."""
+"""Callers of a simulated world: their requests and the answers to them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define(kw_only=True)
 class Answer:
-    """The final answer to a request."""
+    """Final answer to a request."""
 
     status: int
     at: float
@@ -24,7 +24,7 @@
 
 @attrs.define(kw_only=True)
 class Request:
-    """A request of a caller."""
+    """Request of a caller."""
 
     request_id: str
     box: str
@@ -32,22 +32,22 @@
     once: bool
     path: str
     run_id: str = ""
-    """The request whose run makes it as a call; empty for a caller's own."""
+    """Id of the run that made it as a call; empty for requests from outside."""
     answer: Answer | None = None
     disconnected_at: float | None = None
     then: Callable[[], None] | None = None
-    """Run when the final answer has come."""
+    """Callback for the final answer."""
 
 
 @attrs.define(kw_only=True)
 class Callers:
-    """Sends requests to daemons and keeps them with their answers."""
+    """Sends requests to daemons and records the answers."""
 
     timeline: timeline.Timeline
     requests: dict[str, Request] = attrs.Factory(dict)
-    """All requests by id, in the order in which they were sent."""
+    """All requests by id, in the order sent."""
     _open: dict[tuple[str, int], tuple[boxes.Box, Request]] = attrs.Factory(dict)
-    """Requests without an answer, by name of the box and number of the connection."""
+    """Open requests, by box name and connection number."""
 
     def request(
         self,
@@ -61,7 +61,7 @@
         key: str = "",
         run_id: str = "",
     ) -> Request:
-        """Have a caller on a box send a request, or the run of an id make a call."""
+        """Send a request from a caller, or a call from the run `run_id`."""
         number = self.timeline.number()
         request_id = f"{run_id}.{number}" if run_id else f"r{number}"
         req = Request(
@@ -90,7 +90,7 @@
         return req
 
     def disconnect(self, req: Request) -> None:
-        """Have a caller close its connection."""
+        """Close the connection of a caller."""
         for (name, number), (box, one) in list(self._open.items()):
             if one is req:
                 req.disconnected_at = self.timeline.now
@@ -98,14 +98,14 @@
                 self.timeline.feed(box, events.CallerDisconnected(conn=number))
 
     def daemon_killed(self, box: boxes.Box) -> None:
-        """End the connections of a daemon that was killed."""
+        """Close all connections of a killed daemon."""
         for name, number in list(self._open):
             if name == box.name:
                 _, req = self._open.pop((name, number))
                 req.disconnected_at = self.timeline.now
 
     def answered(self, box: boxes.Box, conn: int, answer: Answer) -> None:
-        """Keep the final answer to a request, unless its caller has left."""
+        """Record the final answer, unless the caller has disconnected."""
         _, req = self._open.pop((box.name, conn), (None, None))
         if req is None:
             return
--- a/tests/mesh/simulation/links.py
+++ b/tests/mesh/simulation/links.py
@@ -1,4 +1,4 @@
-"""The links of a simulated world: a delay by distance, and cuts."""
+"""Simulated links with a delay by distance and network partitions."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @attrs.define(kw_only=True)
 class Links:
-    """Dials, carries messages, and ends links; a cut swallows what crosses it."""
+    """Opens links and delivers messages; a partition drops them silently."""
 
     timeline: timeline.Timeline
     by_address: dict[str, boxes.Box] = attrs.Factory(dict)
     cut: Callable[[boxes.Box, boxes.Box], bool] = lambda one, other: False
-    """Tells whether nothing comes from one box to another."""
+    """Returns whether traffic from one box to another is dropped."""
     sent: collections.Counter[str] = attrs.Factory(collections.Counter)
-    """Messages between daemons, by class."""
+    """Number of messages between daemons, by class."""
 
     def heal(self) -> None:
-        """End the cut."""
+        """End the partition."""
         self.cut = lambda one, other: False
 
     def dial(self, box: boxes.Box, address: str) -> None:
-        """Make a link, which is up once two messages have crossed."""
+        """Open a link, which is up after one round trip."""
         other = self.by_address.get(address)
         if other is None or not other.up:
             down = events.OutgoingLinkDown(address=address, was_up=False)
@@ -46,7 +46,7 @@
         self.timeline.feed_later(box, up, 2 * delay_s(box, other))
 
     def hang_up(self, box: boxes.Box, address: str) -> None:
-        """Close a link that a box dialled."""
+        """Close an outgoing link of a box."""
         number = box.outgoing_links.pop(address, None)
         other = self.by_address.get(address)
         if number is None or other is None:
@@ -55,7 +55,7 @@
             self.timeline.after(delay_s(box, other), lambda: self._ended(other, number))
 
     def drop(self, box: boxes.Box, other: boxes.Box) -> None:
-        """End the links between two boxes, one of which has gone."""
+        """Close the links between two boxes, one of which is down."""
         number = other.outgoing_links.pop(box.address, None)
         if number is not None:
             down = events.OutgoingLinkDown(address=box.address, was_up=True)
@@ -65,7 +65,7 @@
             self.timeline.after(CROSS_DC_DELAY_S, lambda: self._ended(other, number))
 
     def send(self, box: boxes.Box, address: str, message: messages.AnyMessage) -> None:
-        """Send a message on a link that a box dialled."""
+        """Send a message on an outgoing link of a box."""
         number = box.outgoing_links.get(address)
         other = self.by_address.get(address)
         if number is None or other is None or self.cut(box, other):
@@ -82,7 +82,7 @@
     def send_back(
         self, box: boxes.Box, number: int, message: messages.AnyMessage
     ) -> None:
-        """Send a message on a link that another box dialled."""
+        """Send a message on an incoming link of a box."""
         other = self.by_address.get(box.incoming_links.get(number, ""))
         if other is None or self.cut(box, other):
             return
@@ -96,7 +96,7 @@
         self.timeline.after(delay_s(box, other), arrive)
 
     def _encoded(self, message: messages.AnyMessage) -> messages.AnyMessage:
-        """Count a message; return it as it comes out of its bytes."""
+        """Count a message; return it after an encoding round trip."""
         self.sent[type(message).__name__] += 1
         return messages.decode(messages.encode(message))
 
@@ -106,7 +106,7 @@
 
 
 def isolate_data_centre(data_centre: str) -> Callable[[boxes.Box, boxes.Box], bool]:
-    """Return a cut between a data centre and all others."""
+    """Return a partition between a data centre and all others."""
 
     def cut(one: boxes.Box, other: boxes.Box) -> bool:
         return (one.data_centre == data_centre) != (other.data_centre == data_centre)
@@ -115,5 +115,5 @@
 
 
 def delay_s(one: boxes.Box, other: boxes.Box) -> float:
-    """Return how long a message takes between two boxes, seconds."""
+    """Return the one-way delay between two boxes, seconds."""
     return SAME_DC_DELAY_S if one.data_centre == other.data_centre else CROSS_DC_DELAY_S
--- a/tests/mesh/simulation/store.py
+++ b/tests/mesh/simulation/store.py
@@ -1,7 +1,6 @@
-"""The store of a simulated world, with its faults.
+"""Simulated store with faults.
 
-It may come back from an older copy of itself: what was written since is gone, and its
-revisions and leases are given out again.
+A restore from a backup loses later writes and reuses revisions and lease ids.
 """
 
 from __future__ import annotations
@@ -18,13 +17,13 @@
 
 STORE_LATENCY_S = 0.004
 REQUEST_TIMEOUT_S = 1.0
-"""When a daemon gives up a request that the store does not answer, seconds."""
+"""Time after which a daemon gives up on a request to the store, seconds."""
 LEASE_S = 30.0
 
 
 @attrs.define(kw_only=True)
 class Watch:
-    """A daemon that waits for a change of the policy."""
+    """A daemon that watches the policy."""
 
     box: boxes.Box
     incarnation: int
@@ -34,7 +33,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Copy:
-    """What a copy of the store holds."""
+    """Backup of the store."""
 
     policy: policy.Policy | None
     records: dict[str, requests.BoxRecord]
@@ -46,21 +45,21 @@
 
 @attrs.define(kw_only=True)
 class Store:
-    """Holds the policy, records of boxes and leases, and answers daemons."""
+    """Stores the policy, box records and leases, and serves daemons."""
 
     timeline: timeline.Timeline
     policy: policy.Policy | None = None
     records: dict[str, requests.BoxRecord] = attrs.Factory(dict)
     calls: collections.Counter[str] = attrs.Factory(collections.Counter)
-    """Requests of daemons, by class."""
+    """Number of requests of daemons, by class."""
     up: bool = True
     cut: Callable[[boxes.Box], bool] = lambda box: False
-    """Tells whether the store does not answer a daemon."""
+    """Returns whether requests of a daemon get no answer."""
     rejects: Callable[[boxes.Box], bool] = lambda box: False
-    """Tells whether the store rejects a daemon's requests at once."""
+    """Returns whether requests of a daemon are rejected at once."""
     era: int = 1
     replica_era: int | None = None
-    """The era that stale answers state; `None` for that of the others."""
+    """Era stated in stale answers; `None` for the current one."""
     revision: int = 1
     _policy_revision: int = 0
     _leases: set[int] = attrs.Factory(set)
@@ -68,7 +67,7 @@
     _watches: list[Watch] = attrs.Factory(list)
 
     def set_policy(self, new: policy.Policy) -> None:
-        """Store a policy."""
+        """Write a policy."""
         self.policy = new
         self.revision += 1
         self._policy_revision = self.revision
@@ -76,17 +75,17 @@
         self._answer_watches()
 
     def write(self, changes: int) -> None:
-        """Have others change what no daemon reads."""
+        """Make changes to keys that no daemon reads."""
         self.revision += changes
         self._answer_watches()
 
     def expire_leases(self) -> None:
-        """Have all leases run out, and the records with them."""
+        """Expire all leases, which deletes the records."""
         self._leases.clear()
         self.records.clear()
 
     def copy(self) -> Copy:
-        """Return a copy of all that the store holds."""
+        """Return a backup of the store."""
         return Copy(
             policy=self.policy,
             records=dict(self.records),
@@ -97,7 +96,7 @@
         )
 
     def restore(self, copy: Copy, *, close_watches: bool = True) -> None:
-        """Go back to a copy: a new era begins, and watches end unless they wait on."""
+        """Restore a backup in a new era; by default this ends all watches."""
         self.era += 1
         self.policy = copy.policy
         self.records = dict(copy.records)
@@ -114,7 +113,7 @@
                 self._answer(watch.box, watch.request, lost)
 
     def ask(self, box: boxes.Box, request: requests.Request) -> None:
-        """Answer a daemon's request after the time that the store takes."""
+        """Answer the request of a daemon after the latency of the store."""
         incarnation = box.incarnation
         self.calls[type(request).__name__] += 1
 
@@ -148,7 +147,7 @@
         result: requests.Result,
         after_s: float = STORE_LATENCY_S,
     ) -> None:
-        """Feed a result later; a loss states no era."""
+        """Feed a result later; a failure states no era."""
         era = 0 if isinstance(result, requests.NoAnswer) else self.era
         answered = events.StoreAnswered(request=request, result=result, era=era)
         self.timeline.feed_later(box, answered, after_s)
@@ -180,7 +179,7 @@
     def _found(self) -> requests.PolicyFound:
         if self.policy is None:
             return requests.PolicyFound(policy=None, at=self.revision)
-        # Each reader gets a policy of its own: daemons set the revision of theirs.
+        # Daemons set the revision of their policy, so each gets a copy.
         found = attrs.evolve(self.policy, revision=self._policy_revision)
         return requests.PolicyFound(policy=found, at=self.revision)
 
--- a/tests/mesh/simulation/targets.py
+++ b/tests/mesh/simulation/targets.py
@@ -1,4 +1,4 @@
-"""The targets of a simulated world: they run requests, call, report and crash."""
+"""Simulated targets, which run requests, make calls, send heartbeats and crash."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 PROBE_DELAY_S = 0.001
 RESET_DELAY_S = 0.0001
 RESET_SPACING_S = 0.00005
-"""When a daemon sees that the connections of a target that crashed have ended: of the
-first, and how much later of each further one, as its loop reads them in turn, s."""
+"""Delay until a daemon sees the first reset connection of a crashed target, and
+interval between further ones, seconds."""
 
 
 @attrs.define(kw_only=True)
 class Run:
-    """A request that reached a target."""
+    """Record of a request that reached a target."""
 
     request_id: str
     box: str
@@ -35,40 +35,40 @@
 
 @attrs.define(kw_only=True)
 class Execution:
-    """A run of a request, which goes on as long as its target has it."""
+    """A run of a request in progress."""
 
     box: boxes.Box
     target: boxes.Target
     effect: effects.Dispatch
     ends: float
-    """When its time is over, seconds."""
+    """Deadline, in simulated seconds."""
     incarnation: int
-    """That of the daemon which sent it."""
+    """Incarnation of the daemon that sent it."""
     completed_calls: int = 0
 
     @property
     def ended(self) -> bool:
-        """Whether it was cancelled, or its target or daemon has gone."""
+        """Whether it was cancelled, or its target or daemon was restarted."""
         running = self.effect.dispatch in self.target.running
         return not running or self.box.incarnation != self.incarnation
 
 
 @attrs.define(kw_only=True)
 class Targets:
-    """Carries out what daemons and faults ask of targets."""
+    """Runs requests for daemons and injects target faults."""
 
     timeline: timeline.Timeline
     callers: callers.Callers
     calls_carry_run_id: bool
-    """Whether targets name a call after the run that makes it."""
+    """Whether the id of a call contains the id of its run."""
     call_host: str
-    """The host that targets' calls name."""
+    """Host of the calls that targets make."""
     runs: list[Run] = attrs.Factory(list)
     acks: dict[int, Callable[[bool], None]] = attrs.Factory(dict)
-    """What gets the acknowledgement of a report, by its connection."""
+    """Callbacks for heartbeat acknowledgements, by connection."""
 
     def drain(self, box: boxes.Box, *, deregister: bool = False) -> list[bool]:
-        """Have a target report that it leaves; the list gets the acknowledgement."""
+        """Start draining a target; the returned list receives the acknowledgement."""
         box.target.leaving = True
         acks: list[bool] = []
         self.send_heartbeat(
@@ -77,7 +77,7 @@
         return acks
 
     def replace(self, box: boxes.Box, *, same_id: bool = False) -> None:
-        """Have a new incarnation of the target answer, under its id or another one."""
+        """Replace the target by a new incarnation, with the same or a new id."""
         box.target.running.clear()
         old = box.target
         if same_id:
@@ -92,7 +92,7 @@
         )
 
     def crash(self, box: boxes.Box, down_s: float) -> None:
-        """End a target and all that runs there; another incarnation starts after it."""
+        """Crash a target with all its runs and restart it after `down_s`."""
         target = box.target
         target.up = False
         target.crashes += 1
@@ -106,12 +106,12 @@
         self.timeline.after(down_s, lambda: self._restart(box, target))
 
     def lose_answer(self, box: boxes.Box, dispatch: int) -> None:
-        """End the connection on which a target works; the run itself has ended."""
+        """Lose the answer of a run by closing its connection."""
         box.target.running.pop(dispatch)
         self.timeline.feed_later(box, lost(dispatch, "connection ended"), RESET_DELAY_S)
 
     def probe(self, box: boxes.Box) -> None:
-        """Have the target of a box answer a health check."""
+        """Answer a health check of the target of a box."""
         target = box.target
         right = target.up and not target.leaving
         probed = events.ProbeAnswered(
@@ -124,7 +124,7 @@
         self.timeline.feed_later(box, probed, PROBE_DELAY_S)
 
     def send_heartbeats(self, box: boxes.Box) -> None:
-        """Have the target of a box report as long as it is up."""
+        """Send periodic heartbeats while the target of a box is up."""
         if box.target.up and not box.target.leaving:
             self.send_heartbeat(
                 box, ready=True, terminating=False, answered=lambda accepted: None
@@ -139,7 +139,7 @@
         terminating: bool,
         answered: Callable[[bool], None],
     ) -> None:
-        """Have the target of a box report; `answered` gets the acknowledgement."""
+        """Send a heartbeat; `answered` receives the acknowledgement."""
         box.sequence += 1
         number = self.timeline.number()
         self.acks[number] = answered
@@ -158,13 +158,13 @@
         self.timeline.feed(box, heartbeat)
 
     def heartbeat_acknowledged(self, conn: int, *, accepted: bool) -> None:
-        """Pass the answer to a report on to whoever waits for it."""
+        """Pass a heartbeat acknowledgement to its callback."""
         answered = self.acks.pop(conn, None)
         if answered is not None:
             answered(accepted)
 
     def dispatch(self, box: boxes.Box, effect: effects.Dispatch) -> None:
-        """Start a run, or reject the request."""
+        """Run or reject a request."""
         target = box.target
         runs = self._runs(target, effect)
         self.runs.append(
@@ -192,7 +192,7 @@
         self._start(box, effect)
 
     def _runs(self, target: boxes.Target, effect: effects.Dispatch) -> bool:
-        """Tell whether a target runs a request; a share of them is shed at random."""
+        """Return whether a target runs a request; a random part of them is shed."""
         return (
             target.up
             and effect.target_id == target.target_id
@@ -216,7 +216,7 @@
         self.timeline.after(work_s, lambda: self._call_next(execution))
 
     def _call_next(self, execution: Execution) -> None:
-        """Make the next call of a run, or end it after the last one."""
+        """Make the next call of a run, or finish the run after the last call."""
         if execution.ended:
             return
         box, target, effect = execution.box, execution.target, execution.effect
@@ -292,7 +292,7 @@
 
 
 def lost(dispatch: int, detail: str) -> events.TargetFailed:
-    """Return the event of a run whose answer is lost."""
+    """Return the event for a lost answer."""
     return events.TargetFailed(
         dispatch=dispatch, sent=True, refused=False, detail=detail
     )
--- a/tests/mesh/simulation/timeline.py
+++ b/tests/mesh/simulation/timeline.py
@@ -1,4 +1,4 @@
-"""Virtual time, and the events that are fed to cores in it."""
+"""Virtual time, in which events are fed to the cores."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from tests.mesh.simulation import box as boxes
 
 THAW_DELAY_S = 1e-6
-"""How long after a box thaws its waiting events are fed to it, seconds."""
+"""Delay of pending events after a frozen box resumes, seconds."""
 
 
 @attrs.define(kw_only=True)
 class Timeline(abc.ABC):
-    """A virtual clock, random draws and numbers that all parts of a world share."""
+    """Virtual clock, random generator and id counter shared by a simulated world."""
 
     seed: int = 1
     env: simpy.Environment = attrs.Factory(simpy.Environment)
@@ -30,29 +30,29 @@
 
     @property
     def now(self) -> float:
-        """The time, seconds."""
+        """Simulated time, seconds."""
         return self.env.now
 
     def number(self) -> int:
-        """Return a number that was not used before."""
+        """Return a unique number."""
         self._numbers += 1
         return self._numbers
 
     def clock(self, box: boxes.Box) -> float:
-        """Return the time as a box has it, seconds."""
+        """Return the time on the clock of a box, seconds."""
         return self.now + box.clock_offset_s
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulation."""
         self.env.run(until=self.env.now + seconds)
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Run an action after some time."""
+        """Run an action after a delay."""
         timeout = self.env.timeout(max(0.0, delay_s))
         timeout.callbacks.append(lambda _: action())
 
     def feed(self, box: boxes.Box, event: events.Event) -> None:
-        """Give a core an event, once it is awake."""
+        """Feed an event to a core, once its box is not frozen."""
         if not box.up:
             return
         if self.now < box.frozen_until:
@@ -63,7 +63,7 @@
     def feed_later(
         self, box: boxes.Box, event: events.Event, delay_s: float = 0.0
     ) -> None:
-        """Give a core an event after some time, unless it has restarted."""
+        """Feed an event to a core after a delay, unless its daemon restarts before."""
         incarnation = box.incarnation
 
         def feed() -> None:
@@ -74,4 +74,4 @@
 
     @abc.abstractmethod
     def carry_out(self, box: boxes.Box, wanted: list[effects.Effect]) -> None:
-        """Do what a core asks for."""
+        """Carry out the effects of a core."""
--- a/tests/mesh/simulation/world.py
+++ b/tests/mesh/simulation/world.py
@@ -1,4 +1,4 @@
-"""A simulated world: boxes, and what their cores ask for carried out by fakes."""
+"""A simulated world of boxes, in which fakes carry out the effects of the cores."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @attrs.define(kw_only=True)
 class World(timeline.Timeline):
-    """Boxes, links, targets and a store on one virtual clock."""
+    """Boxes, links, targets and a store in virtual time."""
 
     switches: switches.Switches = switches.Switches()
     limits: context.Limits = context.Limits()
     clock_skew_s: float = 0.0
-    """How far the clocks of two boxes lie apart, seconds."""
+    """Clock offset between consecutive boxes, seconds."""
     calls_carry_run_id: bool = False
-    """Whether targets name a call after the run that makes it."""
+    """Whether the id of a call contains the id of its run."""
     call_host: str = ""
-    """The host that targets' calls name."""
+    """Host of the calls that targets make."""
     boxes: dict[str, boxes.Box] = attrs.Factory(dict)
     decisions: list[tuple[float, str, effects.Decision]] = attrs.Factory(list)
-    """What daemons decided, with the time and the name of the box."""
+    """Decisions of daemons, with time and box name."""
     callers: callers.Callers = attrs.field(init=False)
     links: links.Links = attrs.field(init=False)
     store: store.Store = attrs.field(init=False)
@@ -50,7 +50,7 @@
     def add_box(
         self, name: str, data_centre: str, service: str, **target: Any
     ) -> boxes.Box:
-        """Add a daemon with a target, and start both."""
+        """Add a box and start its daemon and target."""
         number = len(self.boxes) + 1
         address = f"10.0.{number // 250}.{number % 250}:7000"
         box = boxes.Box(
@@ -68,7 +68,7 @@
         return box
 
     def kill(self, box: boxes.Box, down_s: float = 0.5) -> None:
-        """Kill a daemon and start it again after some time."""
+        """Kill a daemon and restart it after `down_s`."""
         box.up = False
         box.incarnation += 1
         self.callers.daemon_killed(box)
@@ -78,11 +78,11 @@
         self.after(down_s, lambda: self._restart(box))
 
     def stop(self, box: boxes.Box) -> None:
-        """Ask a daemon to end as planned."""
+        """Request a graceful shutdown of a daemon."""
         self.feed(box, events.StopRequested())
 
     def carry_out(self, box: boxes.Box, wanted: list[effects.Effect]) -> None:
-        """Do what a core asks for, and wake it when it wants to be woken."""
+        """Carry out the effects of a core and schedule its next timer."""
         for effect in wanted:
             self._carry_out_one(box, effect)
         wake = box.core.next_wake()
@@ -168,7 +168,7 @@
         self.callers.answered(box, effect.conn, answer)
 
     def _read_policy(self, box: boxes.Box, source: str) -> None:
-        """Give a core the policy that it has been sent in raw form."""
+        """Feed a core the parsed form of the policy that it received."""
         held = self.store.policy
         if held is not None:
             self.feed_later(box, events.PolicyRead(policy=held, source=source))
@@ -180,7 +180,7 @@
 
 
 def faults(world: World) -> list[str]:
-    """Return what callers and targets saw that must not be."""
+    """Return violations of the guarantees to callers and targets."""
     found = []
     ran = collections.Counter(run.request_id for run in world.targets.runs if run.ran)
     for req in world.callers.requests.values():
--- a/tests/mesh/test_faults.py
+++ b/tests/mesh/test_faults.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults in virtual time; seeds that failed once stay here."""
+"""Randomized fault schedules in simulated time; seeds that failed before are kept."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
-def test_a_random_schedule_of_faults_breaks_no_rule(seed):
+def test_random_faults_violate_no_invariant(seed):
     result = faults.run_schedule(seed)
     assert result.faults == [], result.schedule
     assert result.recovered > 0.95
--- a/tests/mesh/test_metrics.py
+++ b/tests/mesh/test_metrics.py
@@ -1,4 +1,4 @@
-"""What logs and metrics say of the store's history and of retries."""
+"""Log lines and metrics about store eras, policy revisions and retries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     return [one.inputs for _, _, one in world.decisions if one.kind == kind]
 
 
-def test_the_return_of_the_store_from_a_copy_has_a_line():
+def test_a_restore_of_the_store_is_logged():
     world = samples.world_of(2)
     world.run(5.0)
     world.store.restore(world.store.copy())
@@ -20,7 +20,7 @@
     assert all((line["old"], line["era"]) == (1, 2) for line in lines)
 
 
-def test_the_metrics_tell_what_a_late_policy_and_a_retry_hang_on():
+def test_metrics_show_the_policy_watch_and_the_retry_budget():
     world = samples.world_of(2)
     world.run(5.0)
     box = world.boxes["box-0"]
@@ -35,7 +35,7 @@
     assert float(values["ferrydeck_retry_targets"]) == 2
 
 
-def test_a_retry_that_is_not_granted_tells_what_it_hung_on():
+def test_a_denied_retry_is_logged_with_its_limits():
     world = samples.world_of(2)
     for box in world.boxes.values():
         box.target.sheds = True
--- a/tests/mesh/test_switches.py
+++ b/tests/mesh/test_switches.py
@@ -1,4 +1,4 @@
-"""Tests of a mechanism fail without it: each shows what the mechanism is there for."""
+"""Checks that the tests of a mechanism fail when it is switched off."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.mesh.poison import test_poison_requests
 
 
-def test_runs_that_fail_behind_a_server_are_turned_away():
+def test_routes_with_failing_downstream_calls_are_shed():
     world = test_surge.chain_of()
     test_surge.surge_of(world, per_s=20, seconds=4)
     world.boxes["box-1"].target.fails = True
@@ -23,11 +23,11 @@
     looks, posts, _ = test_surge.surge_of(world, per_s=20, seconds=4)
     world.run(2)
     assert sum(one.answer.status == 503 for one in looks) > 0.6 * len(looks)
-    # What is urgent is let in all the same.
+    # Requests of high priority are still admitted.
     assert not [one for one in posts if one.answer.status == 503]
 
 
-def test_the_first_failures_of_a_server_are_not_the_callers():
+def test_first_failures_of_a_target_are_retried_elsewhere():
     world = samples.world_of(2)
     world.boxes["box-0"].target.fails = True
     asked = [samples.ask(world, "box-0") for _ in range(6)]
@@ -37,7 +37,7 @@
 
 CASES = {
     "price_slots": test_surge.test_a_full_service_behind_holds_back_what_would_call_it,
-    "turn_away_failing": test_runs_that_fail_behind_a_server_are_turned_away,
+    "turn_away_failing": test_routes_with_failing_downstream_calls_are_shed,
     "pass_rank_on": (
         test_surge.test_calls_of_postings_are_offered_again_first_where_all_servers_shed
     ),
@@ -47,7 +47,7 @@
     "keep_offers_for_urgent": (
         test_surge.test_calls_of_postings_are_offered_again_first_where_all_servers_shed
     ),
-    "repeat_failed": test_the_first_failures_of_a_server_are_not_the_callers,
+    "repeat_failed": test_first_failures_of_a_target_are_retried_elsewhere,
     "prefer_fast": test_balancing.test_a_faster_target_gets_more_requests_at_low_load,
     "prefer_near": test_balancing.test_requests_are_served_in_the_same_data_centre,
     "spill_early": (
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("switch", CASES)
-def test_a_mechanism_is_what_its_test_shows(switch, monkeypatch):
+def test_the_test_of_a_mechanism_fails_without_it(switch, monkeypatch):
     made = simulation.World.__init__
 
     def without(self, **values):
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -10,7 +10,7 @@
     return http.read_request(text.encode("latin-1"), **more)
 
 
-def test_a_head_is_read():
+def test_a_request_head_is_parsed():
     head = request("POST /a/b?c=1 HTTP/1.1\r\nHost: H\r\nContent-Length: 5\r\n\r\n")
     assert (head.method, head.path, head.length) == ("POST", "/a/b?c=1", 5)
     assert head.fields == [("host", "H"), ("content-length", "5")]
@@ -40,35 +40,35 @@
         "GET /a HTTP/1.1\r\nno colon\r\n\r\n",
     ],
 )
-def test_what_hops_could_read_differently_is_refused(text):
+def test_ambiguous_request_heads_are_rejected(text):
     assert request(text, allow_chunked=True) == http.Malformed(
         status=400, detail=request(text, allow_chunked=True).detail
     )
 
 
-def test_chunks_with_a_length_are_refused():
+def test_chunked_encoding_with_a_content_length_is_rejected():
     text = "POST /a HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
     assert request(text, allow_chunked=True).status == 400
 
 
-def test_another_coding_than_chunked_is_refused():
+def test_other_transfer_codings_are_rejected():
     text = "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"
     assert request(text, allow_chunked=True).status == 400
 
 
-def test_a_body_over_the_limit_is_refused():
+def test_a_body_above_the_limit_is_rejected():
     text = "POST /a HTTP/1.1\r\nContent-Length: 50\r\n\r\n"
     assert request(text, max_body_bytes=49).status == 413
 
 
-def test_an_answer_without_length_ends_with_its_connection():
+def test_a_response_without_a_length_ends_when_the_connection_closes():
     head = b"HTTP/1.1 200 OK\r\n\r\n"
     assert http.read_response(head).status == 502
     assert http.read_response(head, until_close=True).length == http.UNTIL_CLOSE
 
 
 def read_all(reader: bodies.BodyReader, data: bytes, step: int) -> tuple[bytes, bytes]:
-    """Feed bytes in steps; return the body and what is left over."""
+    """Feed data in steps; return the body and the remaining bytes."""
     buffer = bytearray()
     out = b""
     for start in range(0, len(data), step):
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 2, 3, 7, 100])
-def test_chunks_are_read_however_they_come(step):
+def test_chunks_are_decoded_at_any_split(step):
     data = b"5\r\nhello\r\n6;x=y\r\n world\r\n0\r\nT: v\r\n\r\nGET /next"
     reader = bodies.BodyReader(length=http.CHUNKED)
     assert read_all(reader, data, step) == (b"hello world", b"GET /next")
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 100])
-def test_a_length_is_kept_to(step):
+def test_bytes_after_the_content_length_are_left(step):
     reader = bodies.BodyReader(length=5)
     assert read_all(reader, b"hellonext", step) == (b"hello", b"next")
     assert reader.done
@@ -95,13 +95,13 @@
 @pytest.mark.parametrize(
     "data", [b"x\r\n", b"\r\n", b"-1\r\n", b"5\r\nhelloXX\r\n", b"1" * 2000]
 )
-def test_bad_chunks_are_refused(data):
+def test_invalid_chunks_are_rejected(data):
     reader = bodies.BodyReader(length=http.CHUNKED)
     with pytest.raises(bodies.BadBody):
         reader.read(bytearray(data))
 
 
-def test_a_body_that_stops_midway_is_not_whole():
+def test_a_truncated_body_is_incomplete():
     reader = bodies.BodyReader(length=5)
     reader.read(bytearray(b"hel"))
     assert not reader.connection_closed()
--- a/tests/unit/test_switches.py
+++ b/tests/unit/test_switches.py
@@ -25,19 +25,19 @@
     return settings.load(str(path))
 
 
-def test_all_mechanisms_are_on_where_nothing_is_said(tmp_path):
+def test_all_mechanisms_are_enabled_by_default(tmp_path):
     tuning = settings.read_switches(loaded(tmp_path))
     assert tuning.price_slots
     assert tuning.compress_far
 
 
-def test_a_mechanism_can_be_switched_off(tmp_path):
+def test_a_mechanism_can_be_disabled(tmp_path):
     cfg = loaded(tmp_path, "[tuning]\nprice_slots = false\n")
     assert not settings.read_switches(cfg).price_slots
     assert settings.read_switches(cfg).pass_rank_on
 
 
-def test_all_that_is_wrong_with_switches_is_reported_with_its_place(tmp_path):
+def test_invalid_switches_are_reported_with_their_keys(tmp_path):
     more = "[tuning]\nprise_slots = false\ncompress_far = 1\n"
     rejected = loaded(tmp_path, more)
     assert isinstance(rejected, findings.Rejected)
