--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -191,7 +191,7 @@
                 self.inbound.crashes.request_failed(now, event)
             case events.CallerDisconnected(conn=conn):
                 self.outbound.caller_disconnected(now, conn)
-            case events.CallerRead(conn=conn, size=size):
+            case events.AnswerBytesSent(conn=conn, size=size):
                 self.outbound.caller_read(now, conn, size)
             case events.OutgoingLinkUp(address=address):
                 self.peers.link_up(now, address)
@@ -280,7 +280,7 @@
                 self.outbound.answer_part_received(now, peer, message)
             case messages.Rejected():
                 self.outbound.attempt_rejected(now, peer, message)
-            case messages.Broken():
+            case messages.AttemptFailed():
                 self.outbound.attempt_broken(now, peer, message)
             case messages.Pong(version=version, load=load):
                 self.policies.pong_received(message)
@@ -387,7 +387,7 @@
                 self.outbound.answer_part_received(now, None, message)
             case messages.Rejected():
                 self.outbound.attempt_rejected(now, None, message)
-            case messages.Broken():
+            case messages.AttemptFailed():
                 self.outbound.attempt_broken(now, None, message)
 
     def _broadcast_state(self, now: float) -> None:
--- a/ferrydeck/mesh/effects.py
+++ b/ferrydeck/mesh/effects.py
@@ -52,7 +52,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Dial:
+class OpenLink:
     """Open an outgoing link to a daemon."""
 
     address: str
@@ -191,7 +191,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class StopAccepting:
+class DisableKeepAlive:
     """Disable keep-alive for callers, so that they reconnect elsewhere."""
 
 
@@ -205,7 +205,7 @@
     | ReplyPart
     | AbortReply
     | Reject
-    | Dial
+    | OpenLink
     | DeflateOutgoing
     | DeflateIncoming
     | CloseLink
@@ -221,6 +221,6 @@
     | SetCallerLimits
     | Decision
     | RequestFinished
-    | StopAccepting
+    | DisableKeepAlive
     | Exit
 )
--- a/ferrydeck/mesh/events.py
+++ b/ferrydeck/mesh/events.py
@@ -38,7 +38,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class CallerRead:
+class AnswerBytesSent:
     """`size` bytes of a streamed answer were sent to a caller."""
 
     conn: int
@@ -212,7 +212,7 @@
 Event = (
     RequestReceived
     | CallerDisconnected
-    | CallerRead
+    | AnswerBytesSent
     | OutgoingLinkUp
     | OutgoingLinkDown
     | OutgoingLinkMessage
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -116,7 +116,9 @@
     def _may_be_own(self, target_id: str) -> bool:
         """Return whether a heartbeat without address may belong to the local target."""
         target = self.inbound.target
-        known = {incarnations.id_of(inc) for inc in (target.incarnation, *target.left)}
+        known = {
+            incarnations.target_id_of(inc) for inc in (target.incarnation, *target.left)
+        }
         return not target.incarnation or target_id in known
 
     def _peer_of_target(self, heartbeat: events.Heartbeat) -> peers.Peer | None:
@@ -127,6 +129,6 @@
             state = peer.target_state
             if state is None:
                 continue
-            if incarnations.id_of(state.incarnation) == heartbeat.target_id:
+            if incarnations.target_id_of(state.incarnation) == heartbeat.target_id:
                 return peer
         return None
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -341,7 +341,7 @@
         """Reject a request that the target rejected; it may be granted a retry."""
         self.runs.end(now, req)
         self.health.count(now, failed=True)
-        expected_id = incarnations.id_of(self.target.incarnation)
+        expected_id = incarnations.target_id_of(self.target.incarnation)
         if facts.target_id and facts.target_id != expected_id:
             self.target.mark_replaced(now, facts.target_id)
         granted = self._grant_retry(now, req)
--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -119,7 +119,9 @@
         fingerprint = fingerprints.of_forward(req.forward)
         self.note(req, "broken", reason, digest=fingerprint.hex())
         number = req.forward.number
-        broken = messages.Broken(number=number, reason=reason, load=self.load(now))
+        broken = messages.AttemptFailed(
+            number=number, reason=reason, load=self.load(now)
+        )
         self.send(now, req, broken)
 
     def note(
--- a/ferrydeck/mesh/inbound/runs.py
+++ b/ferrydeck/mesh/inbound/runs.py
@@ -98,7 +98,7 @@
                 fields=forward.fields,
                 body=forward.body,
                 request_id=forward.request_id,
-                target_id=incarnations.id_of(forward.incarnation),
+                target_id=incarnations.target_id_of(forward.incarnation),
                 caller=forward.caller,
                 team=req.team,
                 left_s=req.deadline - now,
--- a/ferrydeck/mesh/inbound/target_watch.py
+++ b/ferrydeck/mesh/inbound/target_watch.py
@@ -119,7 +119,7 @@
                 self.ctx.set_timer(now + PROBE_RETRY_INTERVAL_S, ProbeTimer())
             return
         self.slots = event.slots or self.slots
-        same = event.target_id == incarnations.id_of(self.incarnation)
+        same = event.target_id == incarnations.target_id_of(self.incarnation)
         if self.phase is messages.Phase.READY and same:
             return
         newest = self._newest.get(event.target_id, incarnations.UNKNOWN)
@@ -199,7 +199,7 @@
         """Return whether a target with another id is open."""
         if not self.incarnation or self.phase is not messages.Phase.READY:
             return False
-        return target_id != incarnations.id_of(self.incarnation)
+        return target_id != incarnations.target_id_of(self.incarnation)
 
     def _may_have_left(self, target_id: str) -> bool:
         """Return whether a health check may be answered by a leaving incarnation.
@@ -210,7 +210,7 @@
         started_ms = self._newest.get(target_id, incarnations.UNKNOWN)
         if started_ms and incarnations.name(target_id, started_ms) not in self.left:
             return False
-        return any(incarnations.id_of(name) == target_id for name in self.left)
+        return any(incarnations.target_id_of(name) == target_id for name in self.left)
 
     def _may_be_late(self, now: float, target_id: str) -> bool:
         """Return whether an incarnation that left without birth time may have sent it.
@@ -221,7 +221,7 @@
 
     def _remember(self, incarnation: str, sequence: int) -> None:
         """Store the sequence number of a heartbeat, and drop the oldest incarnation."""
-        target_id = incarnations.id_of(incarnation)
+        target_id = incarnations.target_id_of(incarnation)
         newest = self._newest.get(target_id, incarnations.UNKNOWN)
         self._newest[target_id] = max(newest, incarnations.started_ms(incarnation))
         self._sequences.pop(incarnation, None)
@@ -231,7 +231,7 @@
 
     def _forget(self, incarnation: str) -> None:
         del self._sequences[incarnation]
-        target_id = incarnations.id_of(incarnation)
+        target_id = incarnations.target_id_of(incarnation)
         if self._newest.get(target_id) == incarnations.started_ms(incarnation):
             del self._newest[target_id]
 
@@ -264,7 +264,7 @@
         After a health check only the id is known, until a heartbeat states the birth
         time.
         """
-        target_id = incarnations.id_of(incarnation)
+        target_id = incarnations.target_id_of(incarnation)
         return self.incarnation in (incarnation, target_id)
 
     def _service(self) -> policy.Service | None:
--- a/ferrydeck/mesh/incarnations.py
+++ b/ferrydeck/mesh/incarnations.py
@@ -17,7 +17,7 @@
     return f"{target_id}{SEPARATOR}{started_ms}" if started_ms else target_id
 
 
-def id_of(incarnation: str) -> str:
+def target_id_of(incarnation: str) -> str:
     """Return the target id of an incarnation."""
     return incarnation.partition(SEPARATOR)[0]
 
--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -287,7 +287,7 @@
         peer.link = peers.LinkState.DIALLING
         peer.timer_at = now + DIAL_TIMEOUT_S
         peer.unanswered_since = float("inf")
-        self.ctx.emit(effects.Dial(address=peer.address))
+        self.ctx.emit(effects.OpenLink(address=peer.address))
 
     def _keep_alive(self, now: float, peer: peers.Peer, idle_interval_s: float) -> None:
         """Ping a daemon if due, and its idle neighbours when it becomes suspect."""
--- a/ferrydeck/mesh/messages.py
+++ b/ferrydeck/mesh/messages.py
@@ -280,7 +280,7 @@
     last: bool
 
 
-class Broken(Message, tag=13):
+class AttemptFailed(Message, tag=13):
     """The answer will not be completed; the request may have run."""
 
     number: int
@@ -382,7 +382,7 @@
     | Credit
     | Answer
     | AnswerPart
-    | Broken
+    | AttemptFailed
     | Rejected
     | HeartbeatRelay
     | HeartbeatAck
--- a/ferrydeck/mesh/net/driver.py
+++ b/ferrydeck/mesh/net/driver.py
@@ -119,8 +119,8 @@
     def _carry_out_control(self, effect: effects.Effect) -> None:
         """Carry out an effect that concerns no single request."""
         match effect:
-            case effects.Dial(address=address):
-                self.links.dial(address)
+            case effects.OpenLink(address=address):
+                self.links.open_link(address)
             case effects.DeflateOutgoing(address=address):
                 self.links.deflate_outgoing(address)
             case effects.DeflateIncoming(link=link):
@@ -137,7 +137,7 @@
                 self._read_policy(raw, source)
             case effects.SetCallerLimits():
                 self.endpoints.use_limits(effect)
-            case effects.StopAccepting():
+            case effects.DisableKeepAlive():
                 self.endpoints.requests.stop_keep_alive()
             case effects.Exit():
                 self.exit_at = clock.now() + EXIT_FLUSH_S
--- a/ferrydeck/mesh/net/endpoints.py
+++ b/ferrydeck/mesh/net/endpoints.py
@@ -146,7 +146,7 @@
         self.feed(events.CallerDisconnected(conn=number))
 
     def _answer_sent(self, number: int, size: int) -> None:
-        self.feed(events.CallerRead(conn=number, size=size))
+        self.feed(events.AnswerBytesSent(conn=number, size=size))
 
     def _malformed(self, fault: http.Malformed) -> None:
         self.log_decision(
--- a/ferrydeck/mesh/net/links.py
+++ b/ferrydeck/mesh/net/links.py
@@ -63,7 +63,7 @@
         self.incoming: dict[int, Link] = {}
         """Incoming links by number."""
 
-    def dial(self, address: str) -> None:
+    def open_link(self, address: str) -> None:
         """Open a link; `OutgoingLinkUp` or `OutgoingLinkDown` follows."""
         sock = sockets.dial(address)
         if sock is None:
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -90,7 +90,7 @@
         if self.stopping:
             self._decline(request, messages.Reason.STOPPING)
             return
-        route = self.ctx.policy.find(request.host, request.path)
+        route = self.ctx.policy.find_route(request.host, request.path)
         if route is None:
             status = replies.NOT_FOUND
             replies.decline(self.ctx, request, status, messages.Reason.NO_ROUTE, None)
@@ -169,7 +169,7 @@
             self.requests.finish(now, req, "answered", "stream")
 
     def attempt_broken(
-        self, now: float, peer: peers.Peer | None, message: messages.Broken
+        self, now: float, peer: peers.Peer | None, message: messages.AttemptFailed
     ) -> None:
         """Handle an attempt that may have run but gives no complete response."""
         req = self.attempts.find(peer, message.number)
--- a/ferrydeck/mesh/outbound/reports.py
+++ b/ferrydeck/mesh/outbound/reports.py
@@ -24,13 +24,13 @@
         now: float,
         req: outbound_request.OutboundRequest,
         peer: peers.Peer | None,
-        message: messages.Answer | messages.Rejected | messages.Broken,
+        message: messages.Answer | messages.Rejected | messages.AttemptFailed,
     ) -> None:
         """Apply the reports of a message; `peer` is `None` for this box."""
         if peer is not None:
             peer.update_load(now, message.load)
             self.prices_received(now, peer, message.load)
-        if isinstance(message, messages.Broken):
+        if isinstance(message, messages.AttemptFailed):
             return
         self.inbound.correlator.set_called(
             req.route.name, called=message.called_by_targets
--- a/ferrydeck/mesh/policy.py
+++ b/ferrydeck/mesh/policy.py
@@ -13,7 +13,7 @@
 from ferrydeck.mesh.teams import keys
 
 
-class Kind(enum.StrEnum):
+class RouteKind(enum.StrEnum):
     """Whether requests of a route may be repeated, and how large their answers are."""
 
     SAFE = "safe"
@@ -39,7 +39,7 @@
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     timeout_s: float
     """Maximum time to answer a request, seconds."""
     objective_s: float
@@ -55,7 +55,7 @@
     @property
     def retryable(self) -> bool:
         """Whether a request may run more than once."""
-        return self.kind is not Kind.ONCE
+        return self.kind is not RouteKind.ONCE
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -94,14 +94,14 @@
     @property
     def lowest(self) -> int:
         """Priority that is shed first."""
-        return self.of(None, self.lowest_route)
+        return self.for_request(None, self.lowest_route)
 
-    def of(self, team: keys.Team | None, route: int) -> int:
+    def for_request(self, team: keys.Team | None, route: int) -> int:
         """Return the priority of a request of `team` on a route of priority `route`."""
         own = None if team is None else team.priority
         return (self.lowest_team if own is None else own) * self._step + route
 
-    def of_call(self, caller: int, route: int) -> int:
+    def for_call(self, caller: int, route: int) -> int:
         """Return the priority of a call made by a run of priority `caller`."""
         team, own = divmod(caller, self._step)
         return team * self._step + min(own, route)
@@ -139,7 +139,7 @@
         for routes in self._by_host.values():
             routes.sort(key=lambda route: -len(route.prefix))
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route for a host whose prefix is the longest match of a path."""
         bare = path.partition("?")[0]
         for route in self._by_host.get(normalize_host(host), ()):
--- a/ferrydeck/mesh/settings.py
+++ b/ferrydeck/mesh/settings.py
@@ -86,10 +86,10 @@
 
 def load(path: str) -> Settings | findings.Rejected:
     """Load and validate the settings file at `path`."""
-    return options.read_file(Settings, path, check_together)
+    return options.read_file(Settings, path, check_combinations)
 
 
-def check_together(cfg: Settings, report: findings.Report) -> None:
+def check_combinations(cfg: Settings, report: findings.Report) -> None:
     """Report conflicts between settings that are valid on their own."""
     used: dict[str, str] = {}
     for name in ("target", "calls", "ready", "reports"):
--- a/ferrydeck/mesh/shutdown.py
+++ b/ferrydeck/mesh/shutdown.py
@@ -74,7 +74,7 @@
         since_s = now - self._stop_at
         if since_s >= INBOUND_CLOSE_DELAY_S and not self.inbound.stopping:
             self.inbound.stop(now)
-            self.ctx.emit(effects.StopAccepting())
+            self.ctx.emit(effects.DisableKeepAlive())
         self.outbound.stopping = since_s >= MIN_SHUTDOWN_S
         progress = Progress(
             since_s=since_s,
--- a/ferrydeck/platform/manifest.py
+++ b/ferrydeck/platform/manifest.py
@@ -23,9 +23,9 @@
 NAME_FORM = re.compile(r"[\x21-\x7e][\x20-\x7e]{0,199}")
 """Form of a team's name: printable ASCII, as a header field can hold it."""
 KINDS = {
-    "safe": policy.Kind.SAFE,
-    "unsafe": policy.Kind.ONCE,
-    "download": policy.Kind.DOWNLOAD,
+    "safe": policy.RouteKind.SAFE,
+    "unsafe": policy.RouteKind.ONCE,
+    "download": policy.RouteKind.DOWNLOAD,
 }
 """Kinds of routes by the platform's names: `unsafe` is run at most once."""
 
--- a/tests/mesh/chains.py
+++ b/tests/mesh/chains.py
@@ -56,7 +56,7 @@
 
 def _routes(times_s: dict[str, tuple[float, float]]) -> tuple[policy.Route, ...]:
     """Return the routes, by their timeouts and latency objectives."""
-    once = policy.Kind.ONCE
+    once = policy.RouteKind.ONCE
 
     def route(name: str, service: str, **changes: object) -> policy.Route:
         timeout_s, objective_s = times_s[name]
--- a/tests/mesh/faults.py
+++ b/tests/mesh/faults.py
@@ -92,9 +92,9 @@
             return
         self.world.stop(box)
         incarnation = box.incarnation
-        self.world.after(6.5, lambda: self._start_again(box, incarnation))
+        self.world.after(6.5, lambda: self._restart(box, incarnation))
 
-    def _start_again(self, box: simulation.Box, incarnation: int) -> None:
+    def _restart(self, box: simulation.Box, incarnation: int) -> None:
         if box.incarnation == incarnation and not box.up:
             self.world.kill(box, 0.1)
 
@@ -108,10 +108,10 @@
         )
         one_way = self.rng.random() < 0.3
 
-        def outwards(one: simulation.Box, other: simulation.Box) -> bool:
+        def outbound_only(one: simulation.Box, other: simulation.Box) -> bool:
             return one.data_centre == data_centre != other.data_centre
 
-        self._cut(outwards if one_way else links.isolate_data_centre(data_centre))
+        self._cut(outbound_only if one_way else links.isolate_data_centre(data_centre))
 
     def _cut_box(self) -> None:
         if (box := self._box()) is not None:
@@ -119,16 +119,16 @@
 
     def _cut(self, cut: object) -> None:
         self.world.links.cut = cut
-        self.world.after(self.rng.uniform(0.5, 5.0), self._mend)
+        self.world.after(self.rng.uniform(0.5, 5.0), self._heal)
 
-    def _mend(self) -> None:
+    def _heal(self) -> None:
         self.world.links.heal()
 
     def _store_down(self) -> None:
         self.world.store.up = False
-        self.world.after(self.rng.uniform(0.5, 5.0), self._store_back)
+        self.world.after(self.rng.uniform(0.5, 5.0), self._store_up)
 
-    def _store_back(self) -> None:
+    def _store_up(self) -> None:
         self.world.store.up = True
 
     def _store_cut(self) -> None:
@@ -148,14 +148,14 @@
             return
         target_id = box.target.target_id
 
-        def acknowledged(accepted: bool) -> None:
+        def on_ack(accepted: bool) -> None:
             if accepted:
                 self.leaving.setdefault(target_id, self.world.now)
 
         deregister = self.rng.random() < 0.3
         box.target.leaving = True
         self.world.targets.send_heartbeat(
-            box, ready=False, terminating=deregister, answered=acknowledged
+            box, ready=False, terminating=deregister, answered=on_ack
         )
         self.world.after(4.0, lambda: self.world.targets.replace(box))
 
--- a/tests/mesh/poison/test_crash_logging.py
+++ b/tests/mesh/poison/test_crash_logging.py
@@ -92,5 +92,5 @@
     refused = events.TargetFailed(dispatch=second, sent=False, refused=True, **common)
     box.core.handle(now, refused)
     assert sorted(sent, key=str) == sorted(
-        [(first, messages.Broken), (second, messages.Rejected)], key=str
+        [(first, messages.AttemptFailed), (second, messages.Rejected)], key=str
     )
--- a/tests/mesh/samples.py
+++ b/tests/mesh/samples.py
@@ -13,7 +13,7 @@
         "name": name,
         "host": HOST,
         "prefix": f"/{name}/",
-        "kind": policy.Kind.SAFE,
+        "kind": policy.RouteKind.SAFE,
         "timeout_s": 2.0,
         "objective_s": 1.0,
         "priority": 2,
@@ -24,7 +24,7 @@
 
 
 def pay(**changes: object) -> policy.Route:
-    return route("pay", kind=policy.Kind.ONCE, priority=0, **changes)
+    return route("pay", kind=policy.RouteKind.ONCE, priority=0, **changes)
 
 
 def policy_of(*routes: policy.Route, version: int = 4) -> policy.Policy:
--- a/tests/mesh/simulation/links.py
+++ b/tests/mesh/simulation/links.py
@@ -30,7 +30,7 @@
         """End the partition."""
         self.cut = lambda one, other: False
 
-    def dial(self, box: boxes.Box, address: str) -> None:
+    def open_link(self, box: boxes.Box, address: str) -> None:
         """Open a link, which is up after one round trip."""
         other = self.by_address.get(address)
         if other is None or not other.up:
@@ -45,7 +45,7 @@
         up = events.OutgoingLinkUp(address=address)
         self.timeline.feed_later(box, up, 2 * delay_s(box, other))
 
-    def hang_up(self, box: boxes.Box, address: str) -> None:
+    def close_link(self, box: boxes.Box, address: str) -> None:
         """Close an outgoing link of a box."""
         number = box.outgoing_links.pop(address, None)
         other = self.by_address.get(address)
@@ -64,7 +64,9 @@
         if number is not None:
             self.timeline.after(CROSS_DC_DELAY_S, lambda: self._ended(other, number))
 
-    def send(self, box: boxes.Box, address: str, message: messages.AnyMessage) -> None:
+    def send_outgoing(
+        self, box: boxes.Box, address: str, message: messages.AnyMessage
+    ) -> None:
         """Send a message on an outgoing link of a box."""
         number = box.outgoing_links.get(address)
         other = self.by_address.get(address)
@@ -79,7 +81,7 @@
 
         self.timeline.after(delay_s(box, other), arrive)
 
-    def send_back(
+    def send_incoming(
         self, box: boxes.Box, number: int, message: messages.AnyMessage
     ) -> None:
         """Send a message on an incoming link of a box."""
--- a/tests/mesh/simulation/world.py
+++ b/tests/mesh/simulation/world.py
@@ -125,14 +125,14 @@
 
     def _carry_out_one(self, box: boxes.Box, effect: effects.Effect) -> None:
         match effect:
-            case effects.Dial(address=address):
-                self.links.dial(box, address)
+            case effects.OpenLink(address=address):
+                self.links.open_link(box, address)
             case effects.CloseLink(address=address):
-                self.links.hang_up(box, address)
+                self.links.close_link(box, address)
             case effects.SendOutgoing(address=address, message=message):
-                self.links.send(box, address, message)
+                self.links.send_outgoing(box, address, message)
             case effects.SendIncoming(link=link, message=message):
-                self.links.send_back(box, link, message)
+                self.links.send_incoming(box, link, message)
             case effects.Dispatch():
                 self.targets.dispatch(box, effect)
             case effects.CancelDispatch(dispatch=dispatch):
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -86,7 +86,7 @@
     )
     assert (first.timeout_s, first.objective_s, first.max_attempts) == (5.0, 1.2, 2)
     longer = made.find("h.example", "/a/b/c")
-    assert longer.kind is policy.Kind.ONCE
+    assert longer.kind is policy.RouteKind.ONCE
     assert made.find("h.example", "/c/") is None
     assert made.find("other.example", "/a/") is None
     assert made.services["book"].health_path == "/well"
