--- a/tests/mesh/faults.py
+++ b/tests/mesh/faults.py
@@ -22,7 +22,7 @@
     """Violations and served requests of a fault schedule."""
 
     seed: int
-    faults: list[str]
+    violations: list[str]
     requests: int
     served: int
     recovered: float
@@ -41,8 +41,8 @@
 
     world: simulation.World
     rng: random.Random
-    done: list[str] = attrs.Factory(list)
-    leaving: dict[str, float] = attrs.Factory(dict)
+    history: list[str] = attrs.Factory(list)
+    drained_at: dict[str, float] = attrs.Factory(dict)
     """Acknowledgement time of draining targets, by target id."""
     _version: int = 4
 
@@ -64,7 +64,7 @@
             self._stop,
         ]
         kind = self.rng.choice(kinds)
-        self.done.append(f"{self.world.now:.2f} {kind.__name__[1:]}")
+        self.history.append(f"{self.world.now:.2f} {kind.__name__[1:]}")
         kind()
 
     def clear_faults(self) -> None:
@@ -140,27 +140,29 @@
         self.world.store.set_policy(policy_of(self._version))
 
     def _drain(self) -> None:
-        staying = [box for box in self.world.boxes.values() if not box.target.leaving]
-        if len(staying) < 3:
+        candidates = [
+            box for box in self.world.boxes.values() if not box.target.draining
+        ]
+        if len(candidates) < 3:
             return
-        box = self.rng.choice(staying)
+        box = self.rng.choice(candidates)
         if not box.up:
             return
         target_id = box.target.target_id
 
         def on_ack(accepted: bool) -> None:
             if accepted:
-                self.leaving.setdefault(target_id, self.world.now)
+                self.drained_at.setdefault(target_id, self.world.now)
 
         deregister = self.rng.random() < 0.3
-        box.target.leaving = True
+        box.target.draining = True
         self.world.targets.send_heartbeat(
             box, ready=False, terminating=deregister, answered=on_ack
         )
         self.world.after(4.0, lambda: self.world.targets.replace(box))
 
     def _replace(self) -> None:
-        if (box := self._box()) is not None and not box.target.leaving:
+        if (box := self._box()) is not None and not box.target.draining:
             self.world.targets.replace(box)
 
     def _lose_answers(self) -> None:
@@ -192,15 +194,15 @@
         world.add_box(f"box-{index}", f"hall-{index % 3}", "desk", slots=12)
     world.run(2.0)
     schedule = Schedule(world=world, rng=rng)
-    next_at = world.now + 1.0
-    ends = world.now + seconds
-    while world.now < ends + RECOVERY_S:
-        if next_at <= world.now < ends:
+    next_fault_at = world.now + 1.0
+    faults_end = world.now + seconds
+    while world.now < faults_end + RECOVERY_S:
+        if next_fault_at <= world.now < faults_end:
             schedule.inject_fault()
-            next_at = world.now + rng.uniform(0.2, 3.0)
-        if world.now >= ends and next_at != float("inf"):
+            next_fault_at = world.now + rng.uniform(0.2, 3.0)
+        if world.now >= faults_end and next_fault_at != float("inf"):
             schedule.clear_faults()
-            next_at = float("inf")
+            next_fault_at = float("inf")
         _send_requests(world, rng)
         world.run(STEP_S)
     world.run(3.0)
@@ -225,21 +227,21 @@
 
 
 def _result(seed: int, world: simulation.World, schedule: Schedule) -> ScheduleResult:
-    found = simulation.faults(world)
-    found += _after_leaving(world, schedule)
-    found += _unanswered(world)
-    found += over_budget(world)
+    violations = simulation.violations(world)
+    violations += _sent_after_drain(world, schedule)
+    violations += _unanswered(world)
+    violations += over_budget(world)
     requests = list(world.callers.requests.values())
-    last_at = requests[-1].at
-    last = [one for one in requests if one.at > last_at - 2.0]
-    last = [one for one in last if one.disconnected_at is None]
+    last_sent_at = requests[-1].at
+    recent = [one for one in requests if one.at > last_sent_at - 2.0]
+    recent = [one for one in recent if one.disconnected_at is None]
     return ScheduleResult(
         seed=seed,
-        faults=found,
+        violations=violations,
         requests=len(requests),
         served=sum(served(one) for one in requests),
-        recovered=sum(map(served, last)) / len(last),
-        schedule=schedule.done,
+        recovered=sum(map(served, recent)) / len(recent),
+        schedule=schedule.history,
     )
 
 
@@ -248,12 +250,12 @@
     return req.answer is not None and req.answer.status == 200
 
 
-def _after_leaving(world: simulation.World, schedule: Schedule) -> list[str]:
+def _sent_after_drain(world: simulation.World, schedule: Schedule) -> list[str]:
     return [
         f"DRAIN {one.request_id} reaches {one.target_id} at {one.at:.3f}"
         for one in world.targets.runs
-        if one.target_id in schedule.leaving
-        and one.at > schedule.leaving[one.target_id] + DRAIN_TIMEOUT_S
+        if one.target_id in schedule.drained_at
+        and one.at > schedule.drained_at[one.target_id] + DRAIN_TIMEOUT_S
     ]
 
 
@@ -267,7 +269,7 @@
 
 
 def over_budget(world: simulation.World) -> list[str]:
-    """Return the window that exceeds the retry budget most, if any."""
+    """Return the window that exceeds the retry budget by the most, if any."""
     limits = world.limits
     seen: set[str] = set()
     retries = []
@@ -275,16 +277,20 @@
         if one.request_id in seen:
             retries.append(one.at)
         seen.add(one.request_id)
-    asked = sorted(one.at for one in world.callers.requests.values())
-    worst, worst_at = 0.0, 0.0
+    request_times = sorted(one.at for one in world.callers.requests.values())
+    max_excess, max_excess_at = 0.0, 0.0
     for end in retries:
-        spent = _in_window(retries, end, limits.retry_window_s)
+        retry_count = _in_window(retries, end, limits.retry_window_s)
         ends = (end, end - limits.retry_window_s / 2, end - limits.retry_window_s)
-        most = max(_in_window(asked, one, limits.retry_window_s) for one in ends)
-        over = spent - limits.retry_ratio * most - limits.retry_slack
-        if over > worst:
-            worst, worst_at = over, end
-    return [f"BUDGET {worst:.1f} over at {worst_at:.2f}"] if worst else []
+        max_requests = max(
+            _in_window(request_times, one, limits.retry_window_s) for one in ends
+        )
+        excess = retry_count - limits.retry_ratio * max_requests - limits.retry_slack
+        if excess > max_excess:
+            max_excess, max_excess_at = excess, end
+    return (
+        [f"BUDGET {max_excess:.1f} over at {max_excess_at:.2f}"] if max_excess else []
+    )
 
 
 def _in_window(times: list[float], end: float, window_s: float) -> int:
--- a/tests/mesh/poison/schedules.py
+++ b/tests/mesh/poison/schedules.py
@@ -102,12 +102,12 @@
             self.world.targets.replace(box)
 
     def _drain_and_replace(self, box: simulation.Box) -> None:
-        if box.up and not box.target.leaving:
+        if box.up and not box.target.draining:
             self.world.targets.drain(box)
             self.world.after(2.5, lambda: self.world.targets.replace(box))
 
     def _stop_at_short_notice(self, box: simulation.Box) -> None:
-        if box.up and not box.target.leaving:
+        if box.up and not box.target.draining:
             self.world.targets.drain(box)
             self.world.after(SHORT_NOTICE_S, lambda: self._crash(box))
 
--- a/tests/mesh/poison/test_poison_requests.py
+++ b/tests/mesh/poison/test_poison_requests.py
@@ -154,7 +154,7 @@
     fleet.finish()
     assert [one.answer.status for one in fleet.poison] == [502] * 3 + [503] * 3
     assert fleets.crash_count(fleet.world) == 3
-    assert simulation.faults(fleet.world) == []
+    assert simulation.violations(fleet.world) == []
 
 
 def test_a_blocked_request_is_not_run_and_has_a_long_retry_after():
--- a/tests/mesh/retry_schedules.py
+++ b/tests/mesh/retry_schedules.py
@@ -161,7 +161,7 @@
     ids = {run.request_id for run in world.targets.runs}
     return Result(
         seed=seed,
-        faults=simulation.faults(world) + faults.over_budget(world),
+        faults=simulation.violations(world) + faults.over_budget(world),
         retries=len(world.targets.runs) - len(ids),
         requests=len(world.callers.requests),
         schedule=schedule.injected,
--- a/tests/mesh/simulation/__init__.py
+++ b/tests/mesh/simulation/__init__.py
@@ -8,6 +8,6 @@
 
 from tests.mesh.simulation.box import Box, Calls
 from tests.mesh.simulation.callers import Request
-from tests.mesh.simulation.world import World, faults
+from tests.mesh.simulation.world import World, violations
 
-__all__ = ["Box", "Calls", "Request", "World", "faults"]
+__all__ = ["Box", "Calls", "Request", "World", "violations"]
--- a/tests/mesh/simulation/box.py
+++ b/tests/mesh/simulation/box.py
@@ -33,7 +33,7 @@
     work_s_by_prefix: tuple[tuple[str, float], ...] = ()
     """Path prefixes with a different service time, in seconds."""
     up: bool = True
-    leaving: bool = False
+    draining: bool = False
     health: bool | None = None
     """Result of a false health check; `None` for a correct one."""
     loses_answers: bool = False
--- a/tests/mesh/simulation/targets.py
+++ b/tests/mesh/simulation/targets.py
@@ -69,7 +69,7 @@
 
     def drain(self, box: boxes.Box, *, deregister: bool = False) -> list[bool]:
         """Start draining a target; the returned list receives the acknowledgement."""
-        box.target.leaving = True
+        box.target.draining = True
         acks: list[bool] = []
         self.send_heartbeat(
             box, ready=False, terminating=deregister, answered=acks.append
@@ -87,7 +87,7 @@
             target_id=old.target_id if same_id else f"{old.target_id}x",
             started_ms=int(1000 * self.timeline.now) + 1 if old.started_ms else 0,
             up=True,
-            leaving=False,
+            draining=False,
             running={},
         )
 
@@ -113,7 +113,7 @@
     def probe(self, box: boxes.Box) -> None:
         """Answer a health check of the target of a box."""
         target = box.target
-        right = target.up and not target.leaving
+        right = target.up and not target.draining
         probed = events.ProbeAnswered(
             healthy=right if target.health is None else target.health,
             target_id=target.target_id if target.up else "",
@@ -125,7 +125,7 @@
 
     def send_heartbeats(self, box: boxes.Box) -> None:
         """Send periodic heartbeats while the target of a box is up."""
-        if box.target.up and not box.target.leaving:
+        if box.target.up and not box.target.draining:
             self.send_heartbeat(
                 box, ready=True, terminating=False, answered=lambda accepted: None
             )
--- a/tests/mesh/simulation/world.py
+++ b/tests/mesh/simulation/world.py
@@ -179,7 +179,7 @@
             self.links.drop(box, other)
 
 
-def faults(world: World) -> list[str]:
+def violations(world: World) -> list[str]:
     """Return violations of the guarantees to callers and targets."""
     found = []
     ran = collections.Counter(run.request_id for run in world.targets.runs if run.ran)
--- a/tests/mesh/test_balancing.py
+++ b/tests/mesh/test_balancing.py
@@ -12,7 +12,7 @@
     assert samples.statuses(requests) == [200] * 50
     used = {one.box for one in world.targets.runs}
     assert used <= {"box-0", "box-2"}
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
 
 
 def test_a_faster_target_gets_more_requests_at_low_load():
--- a/tests/mesh/test_faults.py
+++ b/tests/mesh/test_faults.py
@@ -10,6 +10,6 @@
 @pytest.mark.parametrize("seed", range(1, 25))
 def test_random_faults_violate_no_invariant(seed):
     result = faults.run_schedule(seed)
-    assert result.faults == [], result.schedule
+    assert result.violations == [], result.schedule
     assert result.recovered > 0.95
     assert result.served > 0.5 * result.requests
--- a/tests/mesh/test_leaving.py
+++ b/tests/mesh/test_leaving.py
@@ -55,7 +55,7 @@
     requests = samples.load(world, "box-0", 40, every_s=0.05)
     world.run(3)
     assert samples.statuses(requests) == [200] * 40
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
 
 
 def test_dead_target_is_avoided_until_next_heartbeat():
--- a/tests/mesh/test_lost_boxes.py
+++ b/tests/mesh/test_lost_boxes.py
@@ -17,7 +17,7 @@
     world.run(1.5)
     assert samples.statuses(later) == [200] * 20
     world.run(4)
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
 
 
 def test_frozen_box_does_not_run_expired_requests():
@@ -29,7 +29,7 @@
     world.run(6)
     late = [one for one in world.targets.runs if one.at > requests[0].at + 0.6]
     assert late == []
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
 
 
 def test_killed_daemons_cause_no_wrong_answers():
@@ -46,7 +46,7 @@
                 world.kill(killed)
         world.run(0.02)
     world.run(5)
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
     assert samples.statuses(requests).count(200) > 0.9 * len(requests)
 
 
--- a/tests/mesh/test_retries.py
+++ b/tests/mesh/test_retries.py
@@ -12,7 +12,7 @@
     requests = samples.load(world, "box-0", 30, send=samples.post)
     world.run(3)
     assert samples.statuses(requests) == [502] * 30
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
 
 
 def test_a_retryable_request_whose_response_is_lost_is_retried():
@@ -29,7 +29,7 @@
     requests = samples.load(world, "box-0", 3, every_s=0.5, send=samples.post)
     world.run(2)
     assert samples.statuses(requests) == [200] * 3
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
 
 
 def test_retries_stay_within_the_budget_when_all_targets_fail():
@@ -82,4 +82,4 @@
     ids = {one.request_id for one in on_lost}
     lost = [one for one in requests if one.request_id in ids]
     assert samples.statuses(lost).count(200) == len(lost)
-    assert simulation.faults(world) == []
+    assert simulation.violations(world) == []
--- a/tests/mesh/test_target_watch.py
+++ b/tests/mesh/test_target_watch.py
@@ -24,7 +24,7 @@
     box.target.health = False
     world.kill(box, 0.3)
     world.run(0.4)
-    box.target.leaving = True
+    box.target.draining = True
     world.targets.send_heartbeat(
         box, ready=True, terminating=False, answered=lambda accepted: None
     )
