--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -70,15 +70,10 @@
         self.peers = peer_table.PeerTable(ctx=ctx)
         self.incoming_links = incoming_links.IncomingLinks(ctx=ctx)
         suspects = tracker.PoisonTracker(
-            ctx=ctx,
-            records=records.SuspectRecords(),
-            send_reports=self._broadcast_suspects,
+            ctx=ctx, records=records.SuspectRecords(), send_reports=self._send_suspects
         )
         self.inbound = inbound.Inbound(
-            ctx=ctx,
-            reply=self._reply,
-            announce=self._broadcast_state,
-            suspects=suspects,
+            ctx=ctx, reply=self._reply, announce=self._send_state, suspects=suspects
         )
         self.policy_freshness = policy_freshness.PolicyFreshness(
             ttl_s=self.limits.revoke_s
@@ -180,9 +175,9 @@
             case events.RequestReceived():
                 self.outbound.request_received(now, event)
             case events.OutgoingLinkMessage(address=address, message=message):
-                self._on_outgoing_message(now, address, message)
+                self._on_outgoing(now, address, message)
             case events.IncomingLinkMessage(link=link, message=message):
-                self._on_incoming_message(now, link, message)
+                self._on_incoming(now, link, message)
             case events.TargetAnswered():
                 self.inbound.target_answered(now, event)
             case events.TargetAnswerPart():
@@ -266,7 +261,7 @@
         if peer is not None:
             self.outbound.link_down(now, peer)
 
-    def _on_outgoing_message(
+    def _on_outgoing(
         self, now: float, address: str, message: messages.AnyMessage
     ) -> None:
         """Process a message that arrived on an outgoing link."""
@@ -292,9 +287,7 @@
                 self.policies.request_newer_policy(now, peer, message.version)
             case messages.Welcome():
                 self.peers.handshake_done(now, peer, message)
-                self.inbound.target.receive_peer_report(
-                    now, message.departed_incarnations
-                )
+                self.inbound.target.receive_peer_report(now, message.departed)
                 self.policies.request_newer_policy(
                     now, peer, message.target_state.version
                 )
@@ -311,9 +304,7 @@
                 changed = self.inbound.suspects.records.merge(now, reports)
                 self.inbound.crashes.suspects_changed(now, changed)
 
-    def _on_incoming_message(
-        self, now: float, link: int, message: messages.AnyMessage
-    ) -> None:
+    def _on_incoming(self, now: float, link: int, message: messages.AnyMessage) -> None:
         """Process a message that arrived on an incoming link."""
         if isinstance(message, messages.Hello):
             self._hello_received(now, link, message)
@@ -351,13 +342,13 @@
         self.incoming_links.add(now, link, hello)
         self.peers.add_address(now, hello.address)
         self.peers.set_protocol_version(hello.address, hello.protocol)
-        self.inbound.target.receive_peer_report(now, hello.departed_incarnations)
+        self.inbound.target.receive_peer_report(now, hello.departed)
         welcome = messages.Welcome(
             box=self.identity.box,
             incarnation=self.identity.incarnation,
             data_centre=self.identity.data_centre,
             target_state=self.inbound.state(now),
-            departed_incarnations=self.peers.departed_incarnations(hello.box),
+            departed=self.peers.departed_incarnations(hello.box),
             sent_s=now,
         )
         self.incoming_links.send(link, welcome)
@@ -390,10 +381,10 @@
             case messages.AttemptFailed():
                 self.outbound.attempt_broken(now, None, message)
 
-    def _broadcast_state(self, now: float) -> None:
+    def _send_state(self, now: float) -> None:
         """Broadcast the target state of this box to all linked daemons."""
         self.policies.broadcast_state(now)
 
-    def _broadcast_suspects(self, reports: list[messages.SuspectReport]) -> None:
+    def _send_suspects(self, reports: list[messages.SuspectReport]) -> None:
         """Broadcast reports of requests suspected of crashing targets."""
         self.incoming_links.broadcast(messages.SuspectReports(suspects=reports))
--- a/ferrydeck/mesh/members/peer_table.py
+++ b/ferrydeck/mesh/members/peer_table.py
@@ -159,7 +159,7 @@
             data_centre=identity.data_centre,
             version=self.ctx.version,
             sent_s=now,
-            departed_incarnations=self.departed_incarnations(peer.box),
+            departed=self.departed_incarnations(peer.box),
         )
         self.send(now, peer, hello)
 
--- a/ferrydeck/mesh/messages.py
+++ b/ferrydeck/mesh/messages.py
@@ -132,7 +132,7 @@
     """Version of the active policy at the sender; 0 if none."""
     sent_s: float
     """Send time on the sender's clock, seconds."""
-    departed_incarnations: list[str]
+    departed: list[str]
     """Incarnations of the receiver's target that the sender knows to have left."""
 
 
@@ -143,7 +143,7 @@
     incarnation: int
     data_centre: str
     target_state: TargetState
-    departed_incarnations: list[str]
+    departed: list[str]
     """Incarnations of the receiver's target that the sender knows to have left."""
     sent_s: float
 
--- a/ferrydeck/mesh/outbound/request_builder.py
+++ b/ferrydeck/mesh/outbound/request_builder.py
@@ -42,9 +42,9 @@
         parent = self._parent(now, request, route)
         waited_s = self._waited_s(route, request) if parent is None else 0.0
         priorities = self.ctx.policy.priorities
-        priority = priorities.for_request(team, route.priority)
+        priority = priorities.of(team, route.priority)
         if parent is not None and self.ctx.switches.pass_rank_on:
-            priority = priorities.for_call(parent.call_priority, route.priority)
+            priority = priorities.of_call(parent.call_priority, route.priority)
         return outbound_request.OutboundRequest(
             number=self.ctx.next_number(),
             conn=request.conn,
--- a/ferrydeck/mesh/policy.py
+++ b/ferrydeck/mesh/policy.py
@@ -94,14 +94,14 @@
     @property
     def lowest(self) -> int:
         """Priority that is shed first."""
-        return self.for_request(None, self.lowest_route)
+        return self.of(None, self.lowest_route)
 
-    def for_request(self, team: keys.Team | None, route: int) -> int:
+    def of(self, team: keys.Team | None, route: int) -> int:
         """Return the priority of a request of `team` on a route of priority `route`."""
         own = None if team is None else team.priority
         return (self.lowest_team if own is None else own) * self._step + route
 
-    def for_call(self, caller: int, route: int) -> int:
+    def of_call(self, caller: int, route: int) -> int:
         """Return the priority of a call made by a run of priority `caller`."""
         team, own = divmod(caller, self._step)
         return team * self._step + min(own, route)
--- a/tests/mesh/teams/test_priorities.py
+++ b/tests/mesh/teams/test_priorities.py
@@ -12,34 +12,24 @@
 
 def test_priority_without_teams_is_that_of_route():
     priorities = policy.Priorities(lowest_route=2)
-    assert [priorities.for_request(None, route) for route in (0, 1, 2)] == [0, 1, 2]
+    assert [priorities.of(None, route) for route in (0, 1, 2)] == [0, 1, 2]
     assert priorities.lowest == 2
-    assert priorities.for_call(2, 1) == 1
-    assert priorities.for_call(0, 1) == 0
+    assert priorities.of_call(2, 1) == 1
+    assert priorities.of_call(0, 1) == 0
 
 
 def test_team_priority_precedes_route_priority():
     priorities = policy.Priorities(lowest_route=2, lowest_team=1)
     order = [
-        priorities.for_request(team, route)
-        for team in (URGENT, NORMAL)
-        for route in range(3)
+        priorities.of(team, route) for team in (URGENT, NORMAL) for route in range(3)
     ]
     assert order == sorted(set(order))
-    assert (
-        priorities.for_request(NONE, 0)
-        == priorities.for_request(NORMAL, 0)
-        == priorities.for_request(None, 0)
-    )
-    assert priorities.for_request(NORMAL, 2) == priorities.lowest
+    assert priorities.of(NONE, 0) == priorities.of(NORMAL, 0) == priorities.of(None, 0)
+    assert priorities.of(NORMAL, 2) == priorities.lowest
 
 
 def test_call_keeps_team_priority_and_more_urgent_route():
     priorities = policy.Priorities(lowest_route=2, lowest_team=1)
     for team in (URGENT, NORMAL):
-        assert priorities.for_call(
-            priorities.for_request(team, 2), 1
-        ) == priorities.for_request(team, 1)
-        assert priorities.for_call(
-            priorities.for_request(team, 0), 1
-        ) == priorities.for_request(team, 0)
+        assert priorities.of_call(priorities.of(team, 2), 1) == priorities.of(team, 1)
+        assert priorities.of_call(priorities.of(team, 0), 1) == priorities.of(team, 0)
