--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -1,8 +1,8 @@
 """Sends the results of requests to the outbound side.
 
 Each request ends with an `Answer` (which parts may follow), with `Rejected` (it has not
-run), or with `Broken` (it may have run, and no answer will come). These messages carry
-the load of the target. Failures and rejections are logged before they are sent.
+run), or with `AttemptFailed` (it may have run, and no answer will come). These messages
+carry the load of the target. Failures and rejections are logged before they are sent.
 """
 
 from __future__ import annotations
