--- a/ferrydeck/config/findings.py
+++ b/ferrydeck/config/findings.py
@@ -1,6 +1,6 @@
-"""Findings: what is wrong in a file and where, collected and reported together.
+"""Validation errors of a file, collected and reported together.
 
-Shared by the settings of both daemons, the signed bundles and the policy of a store.
+Used for the settings of both daemons, signed bundles and the policy in the store.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Finding:
-    """One fault in one file, at one key."""
+    """A validation error at one key of a file."""
 
     file: str
     key: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Report:
-    """The findings of one file, in the order they were met."""
+    """Collects the findings of one file."""
 
     file: str
     findings: list[Finding] = dataclasses.field(default_factory=list)
@@ -33,13 +33,13 @@
 
     @property
     def clean(self) -> bool:
-        """Return whether nothing was found."""
+        """Return whether there are no findings."""
         return not self.findings
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Rejected:
-    """The outcome of reading a file that has findings."""
+    """The result of reading an invalid file."""
 
     findings: tuple[Finding, ...]
 
--- a/ferrydeck/config/options.py
+++ b/ferrydeck/config/options.py
@@ -1,9 +1,8 @@
-"""Options that validate themselves, and the reader of classes made of them.
+"""Declarative options and the reader that validates them.
 
-A class of settings declares each field with `option(...)`. `read` walks the
-fields, checks every value and reports all faults, not just the first. The settings of
-both daemons and the signed bundles are read with it. Owns no state; faults are
-collected by `findings`.
+A settings class declares each field with `option(...)`. `read` checks every value and
+reports all errors to a `findings.Report`, not just the first. Used for the settings of
+both daemons and for signed bundles.
 """
 
 from __future__ import annotations
@@ -23,22 +22,22 @@
 T = TypeVar("T")
 
 MISSING = object()
-"""The default of an option that must be given."""
+"""Default of a required option."""
 METADATA_KEY = "ferrydeck_option"
-"""Where the metadata of a field holds its option."""
+"""Key of the option in the metadata of a field."""
 NAME_PATTERN = r"[a-z0-9][a-z0-9._-]{0,62}"
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Text:
-    """A text value that matches a pattern as a whole."""
+    """A text value that fully matches a pattern."""
 
     pattern: str = r".+"
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value`, or report why it can't be used."""
+        """Return `value`, or report why it is invalid."""
         if not isinstance(value, str):
-            report.add(place, f"expected text, got {kind_of(value)}")
+            report.add(place, f"expected text, got {type_name(value)}")
             return ""
         if re.fullmatch(self.pattern, value) is None:
             report.add(place, f"{value!r} does not match {self.pattern}")
@@ -47,18 +46,18 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Number:
-    """A number between two bounds, both included; `whole` rejects fractions."""
+    """A number in an inclusive range; `whole` requires an integer."""
 
     low: float
     high: float
     whole: bool = False
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value`, or report why it can't be used."""
+        """Return `value`, or report why it is invalid."""
         kinds = int if self.whole else (int, float)
         if isinstance(value, bool) or not isinstance(value, kinds):
-            wanted = "a whole number" if self.whole else "a number"
-            report.add(place, f"expected {wanted}, got {kind_of(value)}")
+            expected = "an integer" if self.whole else "a number"
+            report.add(place, f"expected {expected}, got {type_name(value)}")
             return self.low
         if not self.low <= value <= self.high:
             report.add(place, f"{value} is not between {self.low} and {self.high}")
@@ -66,29 +65,29 @@
 
 
 PORT = Number(low=1, high=65535, whole=True)
-"""A TCP port that can be listened on."""
+"""A TCP port to listen on."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Flag:
-    """A truth value."""
+    """A boolean."""
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value`, or report why it can't be used."""
+        """Return `value`, or report why it is invalid."""
         if not isinstance(value, bool):
-            report.add(place, f"expected true or false, got {kind_of(value)}")
+            report.add(place, f"expected true or false, got {type_name(value)}")
             return False
         return value
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Choice:
-    """One of a few texts."""
+    """One of a fixed set of strings."""
 
     values: tuple[str, ...]
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value`, or report why it can't be used."""
+        """Return `value`, or report why it is invalid."""
         if value not in self.values:
             report.add(place, f"{value!r} is not one of {', '.join(self.values)}")
             return self.values[0]
@@ -97,35 +96,35 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Address:
-    """An IP number, with `:port` where `port` is set."""
+    """An IP address, followed by `:port` if `port` is set."""
 
     port: bool = True
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value`, or report why it can't be used."""
+        """Return `value`, or report why it is invalid."""
         if not isinstance(value, str):
-            report.add(place, f"expected an address, got {kind_of(value)}")
+            report.add(place, f"expected an address, got {type_name(value)}")
             return ""
         host, _, port = value.rpartition(":") if self.port else (value, "", "1")
         try:
             ipaddress.ip_address(host.strip("[]"))
         except ValueError:
-            report.add(place, f"{host!r} is not an IP number")
+            report.add(place, f"{host!r} is not an IP address")
         if not port.isdigit() or not 0 < int(port) < 65536:
-            report.add(place, f"{port!r} is not a port")
+            report.add(place, f"{port!r} is not a port number")
         return value
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Items:
-    """A list, each item checked by `item`."""
+    """A list whose items are checked by `item`."""
 
     item: Any
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value` as a tuple, or report why it can't be used."""
+        """Return `value` as a tuple, or report why it is invalid."""
         if not isinstance(value, list):
-            report.add(place, f"expected a list, got {kind_of(value)}")
+            report.add(place, f"expected a list, got {type_name(value)}")
             return ()
         return tuple(
             self.item.check(entry, f"{place}[{index}]", report)
@@ -135,14 +134,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Table:
-    """A table with any keys, each value checked by `item`."""
+    """A table with arbitrary keys whose values are checked by `item`."""
 
     item: Any
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return `value` as a dictionary, or report why it can't be used."""
+        """Return `value` as a dictionary, or report why it is invalid."""
         if not isinstance(value, Mapping):
-            report.add(place, f"expected a table, got {kind_of(value)}")
+            report.add(place, f"expected a table, got {type_name(value)}")
             return {}
         return {
             key: self.item.check(entry, join(place, key), report)
@@ -152,20 +151,20 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Section:
-    """A table that is read into a class of options."""
+    """A table that is read into a settings class."""
 
     cls: type
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
-        """Return an object of the class, or report why none can be made."""
+        """Return an instance of the class, or report why the table is invalid."""
         if not isinstance(value, Mapping):
-            report.add(place, f"expected a table, got {kind_of(value)}")
+            report.add(place, f"expected a table, got {type_name(value)}")
             return None
         return read(self.cls, value, report, place=place)
 
 
 def option(check: Any, *, default: Any = MISSING) -> Any:
-    """Declare a field that `check` validates; without a default it must be given."""
+    """Declare a field validated by `check`; it is required if it has no default."""
     metadata = {METADATA_KEY: check}
     if default is MISSING:
         return attrs.field(metadata=metadata)
@@ -175,7 +174,7 @@
 def read(
     cls: type[T], table: Mapping[str, Any], report: findings.Report, *, place: str = ""
 ) -> T | None:
-    """Read `table` into `cls`; `None` where a value that must be given is missing."""
+    """Read `table` into `cls`; return `None` if a required value is missing."""
     fields = {field.name: field for field in attrs.fields(cls)}
     for key in table:
         if key not in fields:
@@ -187,7 +186,7 @@
             check = field.metadata[METADATA_KEY]
             values[name] = check.check(table[name], join(place, name), report)
         elif field.default is attrs.NOTHING:
-            report.add(join(place, name), "must be given")
+            report.add(join(place, name), "is required")
             complete = False
     return cls(**values) if complete else None
 
@@ -197,7 +196,7 @@
     path: str,
     check_consistency: Callable[[T, findings.Report], None] | None = None,
 ) -> T | findings.Rejected:
-    """Read a TOML file into `cls`; `check_together` adds findings between keys."""
+    """Read a TOML file into `cls`; `check_consistency` validates keys together."""
     report = findings.Report(file=path)
     try:
         table = tomllib.loads(pathlib.Path(path).read_text(encoding="utf-8"))
@@ -213,28 +212,28 @@
     report: findings.Report,
     check_consistency: Callable[[T, findings.Report], None] | None = None,
 ) -> T | findings.Rejected:
-    """Read a table into `cls`, or return all that is wrong with it."""
-    made = read(cls, table, report)
-    if made is not None and report.clean and check_consistency is not None:
-        check_consistency(made, report)
-    if made is None or not report.clean:
+    """Read a table into `cls`, or return all findings."""
+    result = read(cls, table, report)
+    if result is not None and report.clean and check_consistency is not None:
+        check_consistency(result, report)
+    if result is None or not report.clean:
         return findings.Rejected(findings=tuple(report.findings))
-    return made
+    return result
 
 
 def unknown_key(key: str, known: list[str]) -> str:
-    """Say that `key` is unknown and which known key is nearest."""
+    """Return the error text for an unknown key, with the closest known key."""
     nearest = difflib.get_close_matches(key, known, n=1, cutoff=0.0)
-    return f"unknown key; the nearest known one is {nearest[0]!r}"
+    return f"unknown key; closest match: {nearest[0]!r}"
 
 
 def join(place: str, key: str) -> str:
-    """Return the dotted place of `key` below `place`."""
+    """Return the dotted path of `key` below `place`."""
     return f"{place}.{key}" if place else key
 
 
-def kind_of(value: Any) -> str:
-    """Return the TOML name of the type of `value`."""
-    names = {bool: "a truth value", int: "a whole number", float: "a number"}
+def type_name(value: Any) -> str:
+    """Return a readable name of the type of `value`."""
+    names = {bool: "a boolean", int: "an integer", float: "a number"}
     names |= {str: "text", list: "a list", dict: "a table"}
     return names.get(type(value), type(value).__name__)
--- a/ferrydeck/platform/__init__.py
+++ b/ferrydeck/platform/__init__.py
@@ -1,6 +1,5 @@
-"""The adapter to the users' platform: its names, formats and calls.
+"""Adapter to the platform: its names, formats and API calls.
 
-What comes in is decoded once into types of the project whose fields say what they hold,
-and what goes out is made from them; the platform's words stay in this folder. Nothing
-here decides or keeps state.
+Converts the platform's messages to and from the project's types, so that the platform's
+names are used in this package only. Stateless.
 """
--- a/ferrydeck/platform/headers.py
+++ b/ferrydeck/platform/headers.py
@@ -1,6 +1,6 @@
-"""Header fields of the platform, read into and made from the project's types.
+"""Parsing and construction of the platform's header fields.
 
-Called for each request and each answer; relies on names being in lower case.
+Called for each request and each answer; field names must be in lower case.
 """
 
 from __future__ import annotations
@@ -10,35 +10,35 @@
 from ferrydeck.mesh import effects, events, messages
 
 REQUEST_ID = "x-attempt-id"
-"""One for each client attempt: a client that tries again sends a new one."""
+"""Id of one attempt: a client that retries sends a new id."""
 DEADLINE = "x-deadline-ms"
-"""The time left when the request is sent, milliseconds; no time of day."""
+"""Time remaining when the request is sent, milliseconds."""
 SEAL = "x-response-seal"
-"""Its presence confirms that the answer is whole; its value isn't read."""
+"""Present if the answer is complete; the value is ignored."""
 EXPECT = "x-expect-instance"
-"""Id of the target that may run the request; any other answers `MISDIRECTED`."""
+"""Id of the target that may run the request; others answer `MISDIRECTED`."""
 LOAD = "x-server-load"
-"""Three numbers with commas: requests that run, that wait, and slots."""
+"""Running requests, waiting requests and slots, separated by commas."""
 NOT_RUN = "x-not-executed"
-"""Its presence says that the target has not run the request."""
+"""Present if the target did not run the request."""
 CALLER = "x-caller-service"
-"""Service on whose box the request began."""
+"""Service from which the request originates."""
 INSTANCE = "x-instance-id"
-"""Id of the target that answers."""
+"""Id of the responding target."""
 KEY = "x-api-key"
-"""What shows the caller's team; a secret."""
+"""API key that identifies the caller's team; secret."""
 TEAM = "x-tenant"
-"""The team, set for targets by ferrydeck alone."""
+"""The team, set by ferrydeck for targets."""
 RETRY_AFTER = "retry-after"
 HOST = "host"
 MISDIRECTED = 421
-"""Status of a target other than the expected one, which has not run the request."""
+"""Status of a target that is not the expected one and did not run the request."""
 
-SET_BY_US = frozenset({REQUEST_ID, DEADLINE, EXPECT, CALLER})
-"""What no target gets as the caller sent it."""
-SET_BY_US_WITH_TEAMS = SET_BY_US | {KEY, TEAM}
-"""The same where there are teams."""
-ONE_HOP = frozenset(
+REPLACED = frozenset({REQUEST_ID, DEADLINE, EXPECT, CALLER})
+"""Fields of the caller that are replaced before forwarding."""
+REPLACED_WITH_TEAMS = REPLACED | {KEY, TEAM}
+"""Fields of the caller that are replaced if teams are configured."""
+HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -51,109 +51,107 @@
         "expect",
     }
 )
-"""Fields that hold for one connection and are not passed on."""
+"""Hop-by-hop fields, which are not forwarded."""
 
 
 @attrs.define(kw_only=True, frozen=True)
-class RequestFacts:
-    """What a request's fields say, and the fields to pass on."""
+class ParsedRequest:
+    """Parsed fields of a request, and the fields to forward."""
 
     request_id: str
-    """Empty where the caller gave none."""
+    """Empty if the caller sent none."""
     host: str
     deadline_s: float | None
-    """How long the caller waits, seconds; `None` where it did not say."""
+    """Time until the caller's deadline, seconds; `None` if not stated."""
     invalid_deadline: bool
-    """Whether the stated deadline is no number of milliseconds."""
+    """Whether the stated deadline is not a valid number of milliseconds."""
     fields: messages.Fields
-    """The fields that go on to a target."""
+    """Fields to forward to the target."""
     key: str = attrs.field(default="", repr=False)
-    """The key that shows whose the request is; empty for none."""
+    """The API key; empty if absent."""
     multiple_keys: bool = False
-    """Whether it has more than one key."""
+    """Whether the request has more than one API key."""
 
 
-def read_request(fields: messages.Fields, *, teams: bool = False) -> RequestFacts:
-    """Return what the fields of a request say; names are in lower case.
+def read_request(fields: messages.Fields, *, teams: bool = False) -> ParsedRequest:
+    """Parse the fields of a request.
 
-    `teams` says whether requests belong to teams; where none do, a key is a field
-    like any other.
+    Without `teams` the API key is an ordinary field, which is forwarded.
     """
     named = dict(fields)
     stated = named.get(DEADLINE, "").strip()
-    usable = stated.isascii() and stated.isdigit() and len(stated) < 12
-    return RequestFacts(
+    valid = stated.isascii() and stated.isdigit() and len(stated) < 12
+    return ParsedRequest(
         request_id=named.get(REQUEST_ID, "").strip(),
         host=named.get(HOST, ""),
-        deadline_s=int(stated) / 1000 if usable else None,
-        invalid_deadline=bool(stated) and not usable,
-        fields=_passed_on(fields, named, SET_BY_US_WITH_TEAMS if teams else SET_BY_US),
+        deadline_s=int(stated) / 1000 if valid else None,
+        invalid_deadline=bool(stated) and not valid,
+        fields=_forwarded(fields, named, REPLACED_WITH_TEAMS if teams else REPLACED),
         key=named.get(KEY, "") if teams else "",
         multiple_keys=teams and sum(name == KEY for name, _ in fields) > 1,
     )
 
 
 def run_id_of(request_id: str) -> str:
-    """Return the id of the run that makes a request, empty where the id names none.
+    """Return the id of the run that made a request, or an empty string.
 
-    Targets give each call an id of its own: that of its run, a dot and a suffix. The
-    platform's pages do not say so; it is what its targets send.
+    Targets use ids of the form `<run id>.<suffix>` for calls (not documented).
     """
     return request_id.rpartition(".")[0]
 
 
 def target_fields(request: effects.Dispatch) -> messages.Fields:
-    """Return the fields with which a request is sent to a target."""
-    own = [
+    """Return the fields of a request to a target."""
+    added = [
         (REQUEST_ID, request.request_id),
         (DEADLINE, str(max(1, int(request.left_s * 1000)))),
         (EXPECT, request.target_id),
         (CALLER, request.caller),
     ]
     if request.team:
-        own.append((TEAM, request.team))
-    return [*request.fields, *own]
+        added.append((TEAM, request.team))
+    return [*request.fields, *added]
 
 
 def caller_fields(fields: messages.Fields) -> messages.Fields:
-    """Return the fields of a target's answer that a caller gets."""
-    return _passed_on(fields, dict(fields), frozenset())
+    """Return the fields of a target's answer to forward to the caller."""
+    return _forwarded(fields, dict(fields), frozenset())
 
 
 def read_answer(status: int, fields: messages.Fields) -> events.AnswerFacts:
-    """Return what the status and the fields of a target's answer say."""
+    """Parse the status and the fields of a target's answer."""
     named = dict(fields)
     return events.AnswerFacts(
         not_run=NOT_RUN in named or status == MISDIRECTED,
         confirmed_complete=SEAL in named,
         target_id=named.get(INSTANCE, ""),
-        load=_load(named.get(LOAD, "")),
+        load=_parse_load(named.get(LOAD, "")),
     )
 
 
 def matches_request(request_id: str, fields: messages.Fields) -> bool:
-    """Return whether an answer belongs to a request: targets echo its id."""
+    """Return whether an answer belongs to a request, by the echoed request id."""
     return dict(fields).get(REQUEST_ID, request_id) == request_id
 
 
 def rejection_fields(request_id: str, retry_after_s: float | None) -> messages.Fields:
-    """Return the fields of an answer that ferrydeck gives itself; times in seconds."""
+    """Return the fields of an answer that ferrydeck generates itself."""
     fields = [(REQUEST_ID, request_id)] if request_id else []
     if retry_after_s is not None:
         fields.append((RETRY_AFTER, f"{retry_after_s:.3f}"))
     return fields
 
 
-def _passed_on(
-    fields: messages.Fields, named: dict[str, str], dropped: frozenset[str]
+def _forwarded(
+    fields: messages.Fields, named: dict[str, str], replaced: frozenset[str]
 ) -> messages.Fields:
-    listed = {one.strip().lower() for one in named.get("connection", "").split(",")}
-    drop = ONE_HOP | dropped | listed
-    return [(name, value) for name, value in fields if name not in drop]
+    per_hop = {one.strip().lower() for one in named.get("connection", "").split(",")}
+    excluded = HOP_BY_HOP | replaced | per_hop
+    return [(name, value) for name, value in fields if name not in excluded]
 
 
-def _load(text: str) -> events.TargetLoad | None:
-    """Return the stated load; `None` where there is none that can be read."""
+def _parse_load(text: str) -> events.TargetLoad | None:
+    """Parse a load report; return `None` if it is absent or invalid."""
     parts = text.split(",")
     if len(parts) != 3 or not all(one.strip().isdigit() for one in parts):
         return None
--- a/ferrydeck/platform/heartbeats.py
+++ b/ferrydeck/platform/heartbeats.py
@@ -1,7 +1,7 @@
-"""The heartbeats of targets: calls to the daemon of their box that state how they are.
+"""Parsing of the heartbeats that targets send to the daemon of their box.
 
-Each call becomes one `events.Heartbeat`, or `None` where it is none, which the driver
-logs.
+Each call is converted to an `events.Heartbeat`, or `None` if it is invalid, which the
+driver logs.
 """
 
 from __future__ import annotations
@@ -11,36 +11,36 @@
 from ferrydeck.mesh import events, incarnations
 from ferrydeck.platform import units
 
-PREFIX = "/api/instances/"
-"""Path of a heartbeat, before the id of the target."""
+PATH_PREFIX = "/api/instances/"
+"""Path prefix of a heartbeat, followed by the id of the target."""
 READY_PATH = "/api/ready"
-"""Path at which the daemon, not the target, is asked whether it is ready."""
-STATES = {"ready": True, "draining": False}
-"""Whether a target in a state takes new requests."""
+"""Path of the daemon's own readiness check."""
+READY_BY_STATE = {"ready": True, "draining": False}
+"""Whether a target accepts new requests, by state."""
 
 
 class HeartbeatBody(msgspec.Struct, kw_only=True):
-    """The body of a heartbeat; one that lacks a field is no target's."""
+    """The body of a heartbeat; all fields without a default are required."""
 
     service: str
     address: str
     zone: str
     """The target's data centre."""
     version: str
-    """Must be there and isn't read; not the version of a policy."""
+    """Version of the target; required but unused."""
     slots: int
-    """Requests that the target runs at once."""
+    """Maximum number of concurrent requests."""
     state: str
     sequence: int
-    """Rises with each heartbeat of one incarnation, so that late ones are known."""
+    """Increases with each heartbeat of an incarnation, to detect reordering."""
     cold_remaining: str
-    """How much longer the target is slow from its start; a time with its unit."""
+    """Remaining warm-up time of the target, with a unit."""
     born: int = incarnations.UNKNOWN
-    """When the target started, milliseconds since 1970."""
+    """Start time of the target, milliseconds since the Unix epoch."""
 
 
 class LastHeartbeatBody(msgspec.Struct, kw_only=True):
-    """The body of the call with which a target ends; it may have none."""
+    """The optional body of the call that deregisters a target."""
 
     service: str = ""
     address: str = ""
@@ -49,44 +49,44 @@
 
 
 def read(conn: int, method: str, path: str, body: bytes) -> events.Heartbeat | None:
-    """Return the heartbeat in a call, or `None` where it is none."""
-    target_id = path.partition("?")[0].removeprefix(PREFIX)
-    if not path.startswith(PREFIX) or not target_id or "/" in target_id:
+    """Parse a heartbeat; return `None` if the call is not a valid one."""
+    target_id = path.partition("?")[0].removeprefix(PATH_PREFIX)
+    if not path.startswith(PATH_PREFIX) or not target_id or "/" in target_id:
         return None
     match method:
         case "PUT":
-            return _heartbeat(conn, target_id, body)
+            return _parse(conn, target_id, body)
         case "DELETE":
-            return _last_heartbeat(conn, target_id, body)
+            return _parse_end(conn, target_id, body)
     return None
 
 
-def _heartbeat(conn: int, target_id: str, body: bytes) -> events.Heartbeat | None:
+def _parse(conn: int, target_id: str, body: bytes) -> events.Heartbeat | None:
     try:
-        report = msgspec.json.decode(body, type=HeartbeatBody)
-        ready = STATES[report.state]
-        warmup_s = units.parse_duration(report.cold_remaining)
+        parsed = msgspec.json.decode(body, type=HeartbeatBody)
+        ready = READY_BY_STATE[parsed.state]
+        warmup_s = units.parse_duration(parsed.cold_remaining)
     except (msgspec.DecodeError, LookupError, ValueError):
         return None
-    if report.born < 0 or report.sequence < 0 or report.slots < 0:
+    if parsed.born < 0 or parsed.sequence < 0 or parsed.slots < 0:
         return None
     return events.Heartbeat(
         conn=conn,
         target_id=target_id,
-        service=report.service,
-        address=report.address,
-        slots=report.slots,
-        sequence=report.sequence,
+        service=parsed.service,
+        address=parsed.address,
+        slots=parsed.slots,
+        sequence=parsed.sequence,
         ready=ready,
         terminating=False,
         warmup_s=warmup_s,
-        started_ms=report.born,
+        started_ms=parsed.born,
     )
 
 
-def _last_heartbeat(conn: int, target_id: str, body: bytes) -> events.Heartbeat | None:
+def _parse_end(conn: int, target_id: str, body: bytes) -> events.Heartbeat | None:
     try:
-        report = (
+        parsed = (
             msgspec.json.decode(body, type=LastHeartbeatBody)
             if body
             else LastHeartbeatBody()
@@ -96,12 +96,12 @@
     return events.Heartbeat(
         conn=conn,
         target_id=target_id,
-        service=report.service,
-        address=report.address,
+        service=parsed.service,
+        address=parsed.address,
         slots=0,
-        sequence=report.sequence,
+        sequence=parsed.sequence,
         ready=False,
         terminating=True,
         warmup_s=0.0,
-        started_ms=max(incarnations.UNKNOWN, report.born),
+        started_ms=max(incarnations.UNKNOWN, parsed.born),
     )
--- a/ferrydeck/platform/limits.py
+++ b/ferrydeck/platform/limits.py
@@ -1,4 +1,4 @@
-"""The limits of a deployment as the platform's settings state them, as texts."""
+"""Parsing of the deployment limits in the platform's settings."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     "retry_budget_ratio": "retry_ratio",
     "budget_slack": "retry_slack",
 }
-"""Names of plain numbers, and the fields of `context.Limits` that they set."""
+"""Fields of `context.Limits` by name of the numeric setting."""
 DRAIN = "drain_s"
-"""Time for targets to drain: it is checked, and not used."""
-TIMES = {
+"""Drain time of targets; validated but unused."""
+DURATIONS = {
     "budget_window": "retry_window_s",
     "drain": DRAIN,
     "grace": "grace_s",
     "quota_window": "quota_window_s",
 }
-"""Names of times with their unit, and the fields that they set."""
+"""Fields of `context.Limits` by name of the duration setting."""
 STRICT_REVOKE = "strict_revoke"
 REVOKE = "revoke"
-"""How long a policy that isn't confirmed as the newest may be used; it counts only
+"""Maximum time to use a policy that is not confirmed as the newest; only applies
 with `STRICT_REVOKE`."""
 TRUE = "true"
 
@@ -34,38 +34,38 @@
 def read(
     stated: Mapping[str, str], heartbeat: str, report: findings.Report
 ) -> context.Limits:
-    """Return the limits in entries such as `grace = "6s"`; others are passed over."""
-    found: dict[str, float] = {}
+    """Parse settings such as `grace = "6s"`; unknown ones are ignored."""
+    limits: dict[str, float] = {}
     for name, field in NUMBERS.items():
         if name in stated:
-            _add(found, field, float, stated[name], name, report)
-    for name, field in TIMES.items():
+            _set(limits, field, float, stated[name], name, report)
+    for name, field in DURATIONS.items():
         if name in stated:
-            _add(found, field, units.parse_duration, stated[name], name, report)
-    found.pop(DRAIN, None)
+            _set(limits, field, units.parse_duration, stated[name], name, report)
+    limits.pop(DRAIN, None)
     if stated.get(STRICT_REVOKE) == TRUE and REVOKE in stated:
-        _add(found, "revoke_s", units.parse_duration, stated[REVOKE], REVOKE, report)
+        _set(limits, "revoke_s", units.parse_duration, stated[REVOKE], REVOKE, report)
     if heartbeat:
-        _add(
-            found,
+        _set(
+            limits,
             "heartbeat_s",
             units.parse_duration,
             heartbeat,
             "report_interval",
             report,
         )
-    return attrs.evolve(context.Limits(), **found)
+    return attrs.evolve(context.Limits(), **limits)
 
 
-def _add(
-    found: dict[str, float],
+def _set(
+    limits: dict[str, float],
     field: str,
-    read_value: object,
+    parse: object,
     text: str,
     name: str,
     report: findings.Report,
 ) -> None:
     try:
-        found[field] = read_value(text)
+        limits[field] = parse(text)
     except ValueError as exc:
         report.add(f"terms.{name}", str(exc))
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("stated", ["", "-1", "1.5", "new", "\u0663", "9" * 40])
 def test_an_era_that_is_no_number_is_rejected(stated):
-    with pytest.raises(ValueError, match="no era"):
+    with pytest.raises(ValueError, match="invalid era"):
         kv.read_era([("store-era", stated)])
 
 
--- a/tests/platform/test_teams.py
+++ b/tests/platform/test_teams.py
@@ -44,8 +44,8 @@
 @pytest.mark.parametrize(
     ("rows", "words"),
     [
-        ([["a", [SECRET], 1, 1, 1], ["b", [SECRET], 1, 1, 1]], ["holds too"]),
-        ([["a", ["k"], 1, 1, 1], ["a", ["l"], 1, 1, 1]], ["stands twice"]),
+        ([["a", [SECRET], 1, 1, 1], ["b", [SECRET], 1, 1, 1]], ["key shared with"]),
+        ([["a", ["k"], 1, 1, 1], ["a", ["l"], 1, 1, 1]], ["duplicate team name"]),
         ([["a", [SECRET], 1, -1, 1]], ["rate_per_s"]),
         ([["a", [SECRET], 1, 1, "many"]], ["burst"]),
         ([["a", [SECRET], -1, 1, 1]], ["priority"]),
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -349,7 +349,7 @@
     daemon = mesh.spawn("bad", "ferrydeck.meshd", "--settings", str(path))
     assert daemon.popen.wait(20) == 2
     told = daemon.log.read_text()
-    for word in ("box: expected text", "ip:", "link_port:", "store: must be given"):
+    for word in ("box: expected text", "ip:", "link_port:", "store: is required"):
         assert word in told
 
 
