--- a/ferrydeck/mesh/net/links.py
+++ b/ferrydeck/mesh/net/links.py
@@ -46,7 +46,7 @@
     """Opens, accepts and serves the links of one daemon."""
 
     max_frame_bytes = MAX_MESSAGE_BYTES
-    flags = DEFLATED_FLAG
+    flag_bits = DEFLATED_FLAG
 
     def __init__(
         self,
--- a/ferrydeck/net/api_client.py
+++ b/ferrydeck/net/api_client.py
@@ -1,7 +1,7 @@
-"""Calls of an HTTP API whose answers are short: each ends with one result.
+"""A client for HTTP APIs with short answers: each call ends with one result.
 
-Owns the connections to one address and the calls that are under way. Relies on its
-driver to register `http` with the loop and to call `expire`.
+Owns the connections to one address and the calls in progress. The driver must register
+`http` with the loop and call `expire` regularly.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from ferrydeck import clock
 from ferrydeck.net import http, http_client, poller, request_client
 
-MAX_ANSWER = 4 * 1024 * 1024
-"""The longest answer that is read, bytes: a page of records takes up to one million."""
+MAX_ANSWER_BYTES = 4 * 1024 * 1024
+"""Maximum length of an answer, bytes; a page of records takes up to 1 MB."""
 JSON_FIELDS = [("content-type", "application/json")]
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Call:
-    """A call as HTTP."""
+    """An API call as an HTTP request."""
 
     method: str
     path: str
@@ -30,7 +30,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Answer:
-    """A whole answer, whatever its status."""
+    """A complete answer with any status."""
 
     status: int
     body: bytes
@@ -39,7 +39,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class NoAnswer:
-    """Whether the call took effect is not known."""
+    """No answer was received; the call may have taken effect."""
 
     detail: str
 
@@ -48,20 +48,20 @@
 
 
 class ApiClient:
-    """Sends calls to one address and hands each result to the caller's function."""
+    """Sends calls to one address and passes each result to a callback."""
 
     def __init__(
         self, *, poller: poller.Poller, channel: str, address: str, max_connections: int
     ) -> None:
-        self._waiting: dict[int, Callable[[Result], None]] = {}
+        self._callbacks: dict[int, Callable[[Result], None]] = {}
         self._tickets = itertools.count(1)
         self.http = http_client.HttpClient(
             poller=poller,
             channel=channel,
             address=address,
             max_connections=max_connections,
-            listener=self._answered,
-            max_buffered_bytes=MAX_ANSWER,
+            listener=self._deliver,
+            max_buffered_bytes=MAX_ANSWER_BYTES,
         )
 
     def send(
@@ -72,9 +72,9 @@
         on_result: Callable[[Result], None],
         fields: http.Fields | None = None,
     ) -> None:
-        """Send a call; `answered` gets its result within `timeout_s`, seconds."""
+        """Send a call; `on_result` receives its result within `timeout_s` seconds."""
         ticket = next(self._tickets)
-        self._waiting[ticket] = on_result
+        self._callbacks[ticket] = on_result
         self.http.request(
             ticket,
             method=call.method,
@@ -85,21 +85,20 @@
         )
 
     def expire(self, now: float) -> None:
-        """Give up calls whose time is over."""
+        """Fail the calls that timed out."""
         self.http.expire(now)
 
-    def _answered(self, event: http_client.Event) -> None:
-        on_result = self._waiting.pop(event.ticket, None)
+    def _deliver(self, event: http_client.Event) -> None:
+        on_result = self._callbacks.pop(event.ticket, None)
         if on_result is None:
             return
         match event:
-            case http_client.Replied(total=total, body=body) if total > len(body):
+            case http_client.Answer(total=total, body=body) if total > len(body):
                 self.http.cancel(event.ticket)
-                on_result(NoAnswer(detail="answer too long"))
-            case http_client.Replied(status=status, body=body, fields=fields):
+                on_result(NoAnswer(detail="answer exceeds the maximum length"))
+            case http_client.Answer(status=status, body=body, fields=fields):
                 on_result(Answer(status=status, body=body, fields=fields))
             case request_client.RequestFailed(detail=detail):
-                # Whatever ended or silenced this connection may have done so to the
-                # idle ones, while a new one works.
-                self.http.drop_idle()
+                # The idle connections may be broken as well, so use new ones.
+                self.http.close_idle()
                 on_result(NoAnswer(detail=detail))
--- a/ferrydeck/net/core_driver.py
+++ b/ferrydeck/net/core_driver.py
@@ -1,7 +1,7 @@
-"""What the drivers of both programs share: one core on the circuits loop.
+"""Base class of the daemons' drivers: runs a core on the circuits loop.
 
-Owns the events that wait for the core and the signals of the process. Relies on a core
-with `start`, `handle` and `next_wake`, whose effects a subclass carries out.
+Owns the queue of events and the signal handlers. The core provides `start`, `handle`
+and `next_wake`; subclasses execute its effects.
 """
 
 from __future__ import annotations
@@ -16,53 +16,53 @@
 
 
 class CoreDriver(circuits.BaseComponent):
-    """Feeds events to a core, one after the other, and carries out its effects."""
+    """Feeds events to a core sequentially and executes its effects."""
 
     gc_freeze_delay_s = 0.0
-    """When the garbage collector is settled after the start, seconds."""
+    """Delay after startup until the garbage collector is tuned, seconds."""
 
     def __init__(self, *, core: Any) -> None:
         super().__init__()
         self.core = core
         self.exit_at: float | None = None
-        """When the process ends, `None` until that is known; time of `clock.now`."""
-        self._pending: collections.deque[Any] = collections.deque()
-        self._feeding = False
+        """When the process exits, `None` until that is known; time of `clock.now`."""
+        self._event_queue: collections.deque[Any] = collections.deque()
+        self._dispatching = False
         self._gc_freeze_at = clock.now() + self.gc_freeze_delay_s
 
     def execute(self, effect: Any) -> None:
-        """Do what the core asks for."""
+        """Execute an effect that the core requested."""
         raise NotImplementedError
 
     def stop_signalled(self, signo: int) -> None:
-        """Act on a signal to end the process."""
+        """Handle a termination signal."""
         raise NotImplementedError
 
     def exception_raised(self, name: str, value: object, trace: str) -> None:
-        """Act on an exception of a handler, which does not end the loop."""
+        """Handle an exception raised by an event handler; the loop continues."""
         raise NotImplementedError
 
     def start_core(self) -> None:
-        """Start the core, once everything else is there."""
+        """Start the core and execute its first effects."""
         for effect in self.core.start(clock.now()):
             self.execute(effect)
 
     def feed(self, event: Any) -> None:
-        """Give the core an event, after those that wait already."""
-        self._pending.append(event)
-        if self._feeding:
+        """Feed an event to the core, after those already queued."""
+        self._event_queue.append(event)
+        if self._dispatching:
             return
-        self._feeding = True
+        self._dispatching = True
         try:
-            while self._pending:
-                event = self._pending.popleft()
+            while self._event_queue:
+                event = self._event_queue.popleft()
                 for effect in self.core.handle(clock.now(), event):
                     self.execute(effect)
         finally:
-            self._feeding = False
+            self._dispatching = False
 
     def freeze_startup_objects(self, now: float) -> None:
-        """Settle the garbage collector once, some time after the start."""
+        """Tune the garbage collector once, some time after startup."""
         if self._gc_freeze_at and now >= self._gc_freeze_at:
             self._gc_freeze_at = 0.0
             gc_tuning.freeze_startup_objects()
--- a/ferrydeck/net/frame_links.py
+++ b/ferrydeck/net/frame_links.py
@@ -1,8 +1,7 @@
-"""What the links between daemons share in both programs: frames on TCP connections.
+"""Base class of the links between daemons: length-prefixed frames over TCP.
 
-A frame is its length, four bytes in network order, and that many bytes. Owns the
-listening socket, the connections and their counters; a subclass says what a frame is
-and which way a connection is used.
+The length prefix is four bytes in network byte order. Owns the listening socket, the
+connections and their counters; subclasses process the frames.
 """
 
 from __future__ import annotations
@@ -21,20 +20,20 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Link(sockets.Conn):
-    """A connection with another daemon."""
+    """A connection to another daemon."""
 
     address: str = ""
-    """Where it was dialled to; empty for an incoming one."""
+    """Remote address; empty for an incoming connection."""
     connected: bool = False
 
 
 class FrameLinks(sockets.SocketComponent):
-    """Accepts, dials and reads the links of one daemon."""
+    """Accepts and reads the links of a daemon."""
 
     max_frame_bytes = 0
-    """The longest frame that is read, bytes."""
-    flags = 0
-    """Bits of the length that are no part of it."""
+    """Maximum length of a received frame, bytes."""
+    flag_bits = 0
+    """Bits of the length prefix that are flags."""
 
     def __init__(
         self, *, poller: poller.Poller, channel: str, ip: str, port: int
@@ -47,19 +46,19 @@
         self.poller.watch(self.listening, self.on_read, self.on_write)
 
     def link_accepted(self, sock: socket.socket) -> None:
-        """Act on a connection that another daemon made."""
+        """Handle an accepted connection."""
         raise NotImplementedError
 
     def link_connected(self, link: Any) -> None:
-        """Act on a connection that was made from here and stands now."""
+        """Handle an outgoing connection that was established."""
         raise NotImplementedError
 
     def frame_read(self, link: Any, frame: bytes, flags: int) -> None:
-        """Act on a whole frame; `flags` are the bits that stood in its length."""
+        """Handle a frame; `flags` are the flag bits of its length prefix."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Close all sockets; nothing is reported of it."""
+        """Close all sockets without calling `connection_lost`."""
         self.poller.unwatch(self.listening)
         self.listening.close()
         for link in list(self.conns.values()):
@@ -68,17 +67,17 @@
             link.sock.close()
 
     def listener_readable(self, source: object) -> None:
-        """Take the connections that wait."""
+        """Accept pending connections."""
         for sock, _ in sockets.accept_pending(self.listening):
             self.link_accepted(sock)
 
     def data_received(self, link: Any, data: bytes) -> None:
-        """Take the whole frames out of what came in."""
+        """Extract the complete frames from received data."""
         self.bytes_in += len(data)
         link.inbuf += data
         while not link.closed and len(link.inbuf) >= LENGTH_PREFIX.size:
-            [stated] = LENGTH_PREFIX.unpack_from(link.inbuf)
-            length = stated & ~self.flags
+            [prefix] = LENGTH_PREFIX.unpack_from(link.inbuf)
+            length = prefix & ~self.flag_bits
             if length > self.max_frame_bytes:
                 self._fail(link, "too-long")
                 return
@@ -87,10 +86,10 @@
                 return
             frame = bytes(link.inbuf[LENGTH_PREFIX.size : end])
             del link.inbuf[:end]
-            self.frame_read(link, frame, stated & self.flags)
+            self.frame_read(link, frame, prefix & self.flag_bits)
 
     def writable(self, link: Any) -> bool:
-        """Finish a dial."""
+        """Complete a connect."""
         if link.connected:
             return True
         if link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -101,6 +100,6 @@
         return not link.closed
 
     def _fail(self, link: Any, fault: str) -> None:
-        """Count a fault of the other side and close the link."""
+        """Count a protocol error of the peer and close the link."""
         self.faults[fault] += 1
         self.close_conn(link)
--- a/ferrydeck/net/gc_tuning.py
+++ b/ferrydeck/net/gc_tuning.py
@@ -1,7 +1,6 @@
-"""The garbage collector of a daemon: settled once, after the start.
+"""Garbage collector settings of a daemon, applied once after startup.
 
-What a daemon holds from its start lives as long as it does, so that looking through it
-again and again would only add pauses.
+Objects created at startup live until exit, so scanning them only adds pauses.
 """
 
 from __future__ import annotations
@@ -9,12 +8,11 @@
 import gc
 
 THRESHOLDS = (50_000, 20, 50)
-"""New objects until a collection, and collections until one of the next generation:
-a call makes some hundred objects, and the usual 700 would stop each tenth call."""
+"""Thresholds per generation, higher than the defaults to reduce pauses."""
 
 
 def freeze_startup_objects() -> None:
-    """Take what was made at the start out of the garbage collector's rounds."""
+    """Exclude existing objects from collection and raise the thresholds."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*THRESHOLDS)
--- a/ferrydeck/net/http_client.py
+++ b/ferrydeck/net/http_client.py
@@ -1,7 +1,7 @@
-"""A pool of HTTP connections to one address, for short answers and long ones in parts.
+"""An HTTP client with a connection pool for one address.
 
-An answer up to a length comes whole; of a longer one the head comes with the first part
-and each further part when it is asked for, so that the process holds little of it.
+Short bodies are delivered complete; longer ones are streamed in parts on request, to
+limit buffering.
 """
 
 from __future__ import annotations
@@ -13,47 +13,47 @@
 
 from ferrydeck.net import http, poller, request_client
 
-WHOLE = 256 * 1024
-"""A body up to this length is handed on whole if nothing else is said, bytes."""
-PART = 64 * 1024
-"""The length of each part of a long answer but the last, bytes."""
-MAX_CHUNKED = 16 * 1024 * 1024
-"""The longest body in chunks that is read, bytes: it is held whole."""
+MAX_BUFFERED_BYTES = 256 * 1024
+"""Default maximum length of a body that is delivered complete, bytes."""
+PART_BYTES = 64 * 1024
+"""Length of the parts of a streamed body, bytes; the last may be shorter."""
+MAX_CHUNKED_BYTES = 16 * 1024 * 1024
+"""Maximum length of a chunked body, which is buffered completely, bytes."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Replied:
-    """An answer came: all of it, or the head and first part of a long one."""
+class Answer:
+    """A complete answer, or the head and first part of a streamed one."""
 
     ticket: int
     status: int
     fields: http.Fields
     body: bytes
     total: int
-    """The length of the whole body, bytes."""
+    """Length of the complete body, bytes."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class More:
-    """A further part of a long answer."""
+class BodyPart:
+    """A subsequent part of a streamed answer."""
 
     ticket: int
     data: bytes
 
 
-Event = Replied | More | request_client.RequestFailed
+Event = Answer | BodyPart | request_client.RequestFailed
 
 
 @attrs.define(kw_only=True, eq=False)
 class ClientConn(request_client.RequestConn):
-    """A connection of the pool; its credit counts parts."""
+    """A pooled connection; its credit counts parts."""
 
-    passed: int = 0
-    """Bytes of a long answer that were handed on."""
+    delivered: int = 0
+    """Bytes of a streamed body that were delivered."""
 
 
 class HttpClient(request_client.RequestClient):
-    """Sends requests to one address over at most `limit` connections."""
+    """Sends requests to one address over at most `max_connections` connections."""
 
     conn_class = ClientConn
 
@@ -65,7 +65,7 @@
         address: str,
         max_connections: int,
         listener: Callable[[Event], None],
-        max_buffered_bytes: int = WHOLE,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ) -> None:
         super().__init__(
             poller=poller, channel=channel, address=address, listener=listener
@@ -83,7 +83,7 @@
         body: bytes,
         deadline: float,
     ) -> None:
-        """Send a request; the answer, or its loss, comes to the listener."""
+        """Send a request; the answer or failure is delivered to the listener."""
         data = http.request_head(method, path, self.address, fields, len(body)) + body
         conn = self.idle.pop() if self.idle else self._connect()
         if conn is None:
@@ -93,16 +93,16 @@
                 )
             )
             return
-        conn.passed = 0
+        conn.delivered = 0
         self._send_request(conn, ticket, deadline, data)
 
-    def drop_idle(self) -> None:
-        """Close the connections that carry no request."""
+    def close_idle(self) -> None:
+        """Close the idle connections."""
         for conn in list(self.idle):
             self.close_conn(conn)
 
     def data_received(self, conn: ClientConn, data: bytes) -> None:
-        """Read an answer."""
+        """Parse received data of an answer."""
         if not conn.ticket:
             self.close_conn(conn)
             return
@@ -115,10 +115,10 @@
         if conn.head.length < 0:
             self._read_chunked(conn)
         elif len(conn.inbuf) >= min(conn.head.length, self.max_buffered_bytes):
-            self._hand_on(conn)
+            self._deliver(conn)
 
     def connection_lost(self, conn: ClientConn) -> None:
-        """Report the loss of an answer whose connection ended."""
+        """Report the failure of a request whose connection was closed."""
         if conn in self.idle:
             self.idle.remove(conn)
         if conn.ticket:
@@ -131,35 +131,35 @@
         try:
             body = http.read_chunked(bytes(conn.inbuf))
         except ValueError:
-            self._fail_request(conn, "bad chunk")
+            self._fail_request(conn, "malformed chunk")
             return
         if body is None:
-            if len(conn.inbuf) > MAX_CHUNKED:
+            if len(conn.inbuf) > MAX_CHUNKED_BYTES:
                 self._fail_request(conn, "chunked body too long")
             return
         conn.inbuf.clear()
-        self._reply(conn, body, len(body))
+        self._deliver_answer(conn, body, len(body))
 
-    def _hand_on(self, conn: ClientConn) -> None:
-        """Hand on a whole body, or the first part of a long one."""
+    def _deliver(self, conn: ClientConn) -> None:
+        """Deliver a complete body, or the first part of a streamed one."""
         length = conn.head.length
         if len(conn.inbuf) > length:
-            self._fail_request(conn, "more bytes than its length")
+            self._fail_request(conn, "body exceeds Content-Length")
             return
         if length <= self.max_buffered_bytes:
             body = bytes(conn.inbuf)
             conn.inbuf.clear()
-            self._reply(conn, body, length)
+            self._deliver_answer(conn, body, length)
             return
         conn.streaming = True
-        conn.passed = PART
-        body = bytes(conn.inbuf[:PART])
-        del conn.inbuf[:PART]
+        conn.delivered = PART_BYTES
+        body = bytes(conn.inbuf[:PART_BYTES])
+        del conn.inbuf[:PART_BYTES]
         self.pause_reading(conn)
-        self._reply(conn, body, length)
+        self._deliver_answer(conn, body, length)
 
-    def _reply(self, conn: ClientConn, body: bytes, total: int) -> None:
-        replied = Replied(
+    def _deliver_answer(self, conn: ClientConn, body: bytes, total: int) -> None:
+        answer = Answer(
             ticket=conn.ticket,
             status=conn.head.status,
             fields=conn.head.fields,
@@ -168,29 +168,29 @@
         )
         if len(body) == total:
             self._release(conn)
-        self.listener(replied)
+        self.listener(answer)
 
     def deliver_parts(self, conn: ClientConn) -> None:
-        """Hand on as many parts as were asked for and are there."""
+        """Deliver buffered parts, limited by the credit."""
         while conn.credit and conn.inbuf and not conn.closed:
-            data = bytes(conn.inbuf[:PART])
-            last = conn.passed + len(data) >= conn.head.length
-            if len(data) < PART and not last:
+            data = bytes(conn.inbuf[:PART_BYTES])
+            last = conn.delivered + len(data) >= conn.head.length
+            if len(data) < PART_BYTES and not last:
                 return
-            del conn.inbuf[:PART]
-            conn.passed += len(data)
+            del conn.inbuf[:PART_BYTES]
+            conn.delivered += len(data)
             conn.credit -= 1
             ticket = conn.ticket
             if last:
                 self._release(conn)
-            self.listener(More(ticket=ticket, data=data))
+            self.listener(BodyPart(ticket=ticket, data=data))
             if last:
                 return
         if not conn.credit and not conn.closed:
             self.pause_reading(conn)
 
     def _release(self, conn: ClientConn) -> None:
-        """Put a connection back that has done its request."""
+        """Return a connection to the pool after its request."""
         self.by_ticket.pop(conn.ticket, None)
         conn.ticket = 0
         conn.streaming = False
--- a/ferrydeck/net/poller.py
+++ b/ferrydeck/net/poller.py
@@ -1,10 +1,9 @@
-"""The poller of a daemon: that of circuits, with a direct path for sockets of requests.
+"""An epoll poller for circuits that calls back directly for request sockets.
 
-circuits turns each ready socket into an event that goes through its queue and its
-dispatcher, in a further round of the loop. A source that is registered here with a
-callable is served in the round that found it ready; all others (the admin endpoint,
-timers, signals) go the usual way. Owns which sources are served directly, and for what;
-relies on whoever closes a source to call `leave` first.
+circuits queues and dispatches an event for each ready socket. Sources registered with
+`watch` are instead handled by callbacks right after the poll; all others (the admin
+endpoint, timers, signals) use circuits' events. Callers must call `unwatch` before they
+close a source.
 """
 
 from __future__ import annotations
@@ -17,34 +16,33 @@
 
 ReadyCallback = Callable[[Any], None]
 MAX_POLLS_PER_TICK = 64
-"""Rounds of the poller in one of circuits' own, so that its tasks get their turn."""
+"""Limit of polls per iteration of the circuits loop, so that its tasks also run."""
 
 
 class Poller(pollers.EPoll):
-    """An `EPoll` that serves some sources directly."""
+    """An `EPoll` with direct callbacks for watched sources."""
 
     channel = "epoll"
 
     def __init__(self) -> None:
         super().__init__()
         self.run_due: Callable[[], float] | None = None
-        """Does what is due and returns the time until more is, seconds. With it the
-        poller polls on by itself while circuits has no events: a round of circuits'
-        dispatcher costs about as much as a decision."""
+        """Runs due work and returns the time until the next work is due, seconds. If
+        set, the poller polls repeatedly while circuits has no events."""
         self._watched: dict[int, tuple[Any, ReadyCallback, ReadyCallback]] = {}
         self._masks: dict[int, int] = {}
 
     def watch(
         self, source: Any, on_read: ReadyCallback, on_write: ReadyCallback
     ) -> None:
-        """Serve a source directly from now on; it is read at once."""
+        """Register callbacks for a source, initially for reading."""
         fileno = fileno_of(source)
         self._watched[fileno] = (source, on_read, on_write)
         self._masks[fileno] = select.EPOLLIN
         self._poller.register(fileno, select.EPOLLIN)
 
     def set_interest(self, source: Any, *, read: bool, write: bool) -> None:
-        """Set whether a source is served for reading and for writing."""
+        """Set whether a source is polled for reading and for writing."""
         fileno = fileno_of(source)
         mask = (select.EPOLLIN if read else 0) | (select.EPOLLOUT if write else 0)
         if self._masks.get(fileno) not in (None, mask):
@@ -52,7 +50,7 @@
             self._poller.modify(fileno, mask)
 
     def unwatch(self, source: Any) -> None:
-        """Serve a source no more; to be called before it is closed."""
+        """Unregister a source; must be called before it is closed."""
         fileno = fileno_of(source)
         if self._watched.pop(fileno, None) is not None:
             del self._masks[fileno]
@@ -76,12 +74,12 @@
             return
         source, on_read, on_write = watched
         if event & ~select.EPOLLOUT:
-            # Ends and errors show as readable too: the read finds out which it is.
+            # EPOLLHUP and EPOLLERR are reported by the read.
             on_read(source)
         if event & select.EPOLLOUT and self._watched.get(fileno) is watched:
             on_write(source)
 
 
 def fileno_of(source: Any) -> int:
-    """Return the number of a socket or of a bare descriptor."""
+    """Return the descriptor of a socket, or a descriptor as it is."""
     return source if isinstance(source, int) else source.fileno()
--- a/ferrydeck/net/request_client.py
+++ b/ferrydeck/net/request_client.py
@@ -1,8 +1,8 @@
-"""What the HTTP clients of both programs share: requests on connections of their own.
+"""Base class of the HTTP clients: one request at a time per connection, no pipelining.
 
-Owns the connections to one address and which request each of them carries, one at a
-time. A subclass chooses the connection, reads the body of an answer and says how it is
-handed on. Relies on its driver to call `expire` often enough for the deadlines.
+Owns the connections to one address and their requests. Subclasses choose the connection
+and read and deliver the body of an answer. The driver must call `expire` regularly to
+enforce deadlines.
 """
 
 from __future__ import annotations
@@ -19,45 +19,44 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class RequestFailed:
-    """No whole answer will come."""
+    """Reports that no complete answer will be received."""
 
     ticket: int
     sent: bool
-    """Whether any byte of the request may have been received."""
+    """Whether the server may have received any part of the request."""
     refused: bool
-    """Whether no connection could be made."""
+    """Whether the connection was refused or could not be opened."""
     detail: str
 
 
 @attrs.define(kw_only=True, eq=False)
 class RequestConn(sockets.Conn):
-    """A connection that carries one request at a time."""
+    """A connection with at most one request in progress."""
 
     connected: bool = False
     ticket: int = 0
-    """The request in hand; 0 for an idle connection."""
+    """Number of the request in progress; 0 for an idle connection."""
     sent: bool = False
-    """Whether any byte of the request may have left."""
+    """Whether any part of the request may have been sent."""
     deadline: float = 0.0
-    """When the request is given up; time of `clock.now`."""
+    """Deadline of the request; time of `clock.now`."""
     head: http.ResponseHead | None = None
     streaming: bool = False
-    """Whether the answer is handed on in parts."""
+    """Whether the body is delivered in parts."""
     credit: int = 0
-    """How much more of a long answer may be handed on, in the subclass's unit."""
+    """Flow-control credit for a streamed body, in units of the subclass."""
 
 
 class RequestClient(sockets.SocketComponent):
-    """Sends requests to one address and hands their answers to `listener`."""
+    """Sends requests to one address and delivers the answers to `listener`."""
 
     conn_class: type[RequestConn] = RequestConn
     keepalive_probes = 1
-    """Unanswered probes of the kernel after which a connection is lost: one, as lost
-    requests of this kind are asked again."""
+    """Unanswered keepalive probes that end a connection; few, as requests are retried."""
     unacked_timeout_ms = 0
-    """How long sent bytes may stay unacknowledged; 0 where requests time out sooner."""
+    """Limit for unacknowledged sent data, milliseconds; 0 for the kernel's default."""
     until_close = False
-    """Whether a body may end with its connection."""
+    """Whether a body may be delimited by the end of the connection."""
 
     def __init__(
         self,
@@ -74,11 +73,11 @@
         self.by_ticket: dict[int, Any] = {}
 
     def deliver_parts(self, conn: Any) -> None:
-        """Hand on what is there of a long answer, as far as the credit goes."""
+        """Deliver buffered parts of a streamed body, limited by the credit."""
         raise NotImplementedError
 
     def read_more(self, ticket: int, credit: int = 1) -> None:
-        """Hand on more of a long answer, at once or when it is there."""
+        """Grant credit for further parts of a streamed body."""
         conn = self.by_ticket.get(ticket)
         if conn is None or not conn.streaming:
             return
@@ -88,20 +87,20 @@
             self.resume_reading(conn)
 
     def cancel(self, ticket: int) -> None:
-        """Close the connection of a request; nothing more of it is reported."""
+        """Cancel a request: close its connection and report nothing more."""
         conn = self.by_ticket.pop(ticket, None)
         if conn is not None:
             conn.ticket = 0
             self.close_conn(conn)
 
     def expire(self, now: float) -> None:
-        """Give up the requests whose deadline is past, but for long answers."""
+        """Fail the requests whose deadline has passed, except streamed ones."""
         for conn in list(self.by_ticket.values()):
             if now >= conn.deadline and not conn.streaming:
                 self._fail_request(conn, "request timed out")
 
     def writable(self, conn: Any) -> bool:
-        """Finish a connect; the request that waited for it goes out then."""
+        """Complete a connect, then send the pending request."""
         if conn.connected:
             return True
         error = conn.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -114,7 +113,7 @@
         return True
 
     def _connect(self) -> Any:
-        """Return a connection that is being made, `None` where none can be."""
+        """Start a connection; return `None` if that fails immediately."""
         sock = sockets.dial(self.address)
         if sock is None:
             return None
@@ -131,7 +130,7 @@
     def _send_request(
         self, conn: Any, ticket: int, deadline: float, data: bytes
     ) -> None:
-        """Send a request on a connection that carries none."""
+        """Send a request on an idle connection."""
         conn.ticket = ticket
         conn.deadline = deadline
         conn.head = None
@@ -145,7 +144,7 @@
         self.send(conn, data)
 
     def _read_head(self, conn: Any) -> bool:
-        """Read the head of an answer; false where it is not whole or not usable."""
+        """Parse the head of an answer; return false if incomplete or malformed."""
         end = conn.inbuf.find(http.END_OF_HEAD)
         if end < 0:
             if len(conn.inbuf) > http.MAX_HEAD_BYTES:
@@ -161,7 +160,7 @@
         return True
 
     def _fail_request(self, conn: Any, detail: str, *, refused: bool = False) -> None:
-        """Close a connection; its request, if it has one, is lost."""
+        """Close a connection and report its request, if any, as failed."""
         if conn.ticket:
             self._report_failure(conn, detail, refused=refused)
         self.close_conn(conn)
--- a/ferrydeck/net/sockets.py
+++ b/ferrydeck/net/sockets.py
@@ -1,9 +1,8 @@
-"""Sockets that don't block, on the poller of a daemon.
+"""Non-blocking sockets on the poller of a daemon.
 
-They are served without the events of `circuits.net`: each of those costs a request
-about as much as the whole decision (docs/design/signed-rounds.md has the figures). A
-component here owns its sockets, with what was read and what is still to be written on
-each; subclasses act on the bytes.
+Bypasses the events of `circuits.net` to reduce latency. A component owns its sockets
+with their buffers; subclasses process the received data. Figures are in
+docs/design/signed-rounds.md.
 """
 
 from __future__ import annotations
@@ -18,19 +17,18 @@
 
 from ferrydeck.net import poller
 
-CHUNK = 64 * 1024
-"""Bytes read at once."""
-AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
-"""Errors of a socket that only has nothing to read, or no room, for now."""
+MAX_READ_BYTES = 64 * 1024
+"""Maximum number of bytes per read."""
+RETRY_ERRNOS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+"""Errors after which the operation is retried when the socket is ready."""
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
-"""How long a connection carries no byte until the kernel probes it, and the pause from
-probe to probe, seconds."""
+"""Idle time before the first TCP keepalive probe, and time between probes, seconds."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Conn:
-    """One connection with what is still to be written on it."""
+    """A connection with its buffers."""
 
     sock: socket.socket
     inbuf: bytearray = attrs.Factory(bytearray)
@@ -39,12 +37,12 @@
     writing: bool = False
     closed: bool = False
     socket_error: bool = False
-    """Whether it was reset, not ended by the other side."""
+    """Whether the connection ended by an error, not by the peer closing it."""
     close_when_sent: bool = False
 
 
 class SocketComponent(circuits.BaseComponent):
-    """Reads, writes and closes sockets; subclasses act on what comes in."""
+    """Reads, writes and closes sockets; subclasses process the received data."""
 
     def __init__(self, *, poller: poller.Poller, channel: str) -> None:
         super().__init__(channel=channel)
@@ -52,12 +50,12 @@
         self.conns: dict[socket.socket, Any] = {}
 
     def on_read(self, source: Any) -> None:
-        """Read a socket that is ready; raises nothing that ends the loop."""
+        """Read from a socket that is ready."""
         conn = self.conns.get(source)
         if conn is None:
             self.listener_readable(source)
             return
-        data = self._receive(conn)
+        data = self._recv(conn)
         if data is None:
             return
         if not data:
@@ -66,49 +64,49 @@
         self.data_received(conn, data)
 
     def on_write(self, source: Any) -> None:
-        """Write to a socket that takes bytes again."""
+        """Write buffered data to a socket that is writable."""
         conn = self.conns.get(source)
         if conn is None or conn.closed or not self.writable(conn):
             return
-        self._push(conn)
+        self._flush(conn)
 
     def listener_readable(self, source: Any) -> None:
-        """Act on a source that is no connection, a listening socket for one."""
+        """Handle a readable source that is not a connection, such as a listener."""
 
     def data_received(self, conn: Any, data: bytes) -> None:
-        """Act on bytes that came in."""
+        """Handle received data."""
         raise NotImplementedError
 
     def writable(self, conn: Any) -> bool:
-        """Act on a socket that takes bytes; false to leave what is buffered."""
+        """Handle a writable socket; return whether to send buffered data."""
         return True
 
     def drained(self, conn: Any) -> None:
-        """Act on a connection whose bytes are all out."""
+        """Called when the write buffer is empty."""
 
     def connection_lost(self, conn: Any) -> None:
-        """Act on a connection that is closed now."""
+        """Called when a connection was closed."""
 
     def add_conn(self, conn: Any) -> None:
-        """Start reading a connection."""
+        """Register a connection and start reading."""
         self.conns[conn.sock] = conn
         conn.reading = True
         self.poller.watch(conn.sock, self.on_read, self.on_write)
 
     def resume_reading(self, conn: Any) -> None:
-        """Read the connection again."""
+        """Resume reading."""
         if not conn.reading and not conn.closed:
             conn.reading = True
-            self._want(conn)
+            self._update_interest(conn)
 
     def pause_reading(self, conn: Any) -> None:
-        """Leave what comes in with the kernel, so that the other side waits."""
+        """Stop reading, so that TCP flow control blocks the sender."""
         if conn.reading and not conn.closed:
             conn.reading = False
-            self._want(conn)
+            self._update_interest(conn)
 
     def send(self, conn: Any, data: bytes) -> None:
-        """Send at once; what does not fit goes out when the socket takes it."""
+        """Send immediately; buffer the rest until the socket is writable."""
         if conn.closed:
             return
         if conn.outbuf or conn.writing:
@@ -117,7 +115,7 @@
         try:
             sent = conn.sock.send(data)
         except OSError as exc:
-            if exc.errno not in AGAIN:
+            if exc.errno not in RETRY_ERRNOS:
                 conn.socket_error = True
                 self.close_conn(conn)
                 return
@@ -126,13 +124,13 @@
             conn.outbuf += data[sent:]
             self.await_writable(conn)
             return
-        self._all_sent(conn)
+        self._write_complete(conn)
 
     def await_writable(self, conn: Any) -> None:
-        """Have `on_write` called when the socket takes bytes."""
+        """Call `on_write` when the socket is writable."""
         if not conn.writing:
             conn.writing = True
-            self._want(conn)
+            self._update_interest(conn)
 
     def close_conn(self, conn: Any) -> None:
         """Close a connection."""
@@ -144,26 +142,26 @@
         conn.sock.close()
         self.connection_lost(conn)
 
-    def _want(self, conn: Any) -> None:
+    def _update_interest(self, conn: Any) -> None:
         self.poller.set_interest(conn.sock, read=conn.reading, write=conn.writing)
 
-    def _receive(self, conn: Any) -> bytes | None:
-        """Return what came in, nothing at the end, `None` where none is there yet."""
+    def _recv(self, conn: Any) -> bytes | None:
+        """Return received data, empty at end of stream, `None` if not ready."""
         if conn.closed:
             return None
         try:
-            return conn.sock.recv(CHUNK)
+            return conn.sock.recv(MAX_READ_BYTES)
         except OSError as exc:
-            if exc.errno in AGAIN:
+            if exc.errno in RETRY_ERRNOS:
                 return None
             conn.socket_error = True
             return b""
 
-    def _push(self, conn: Any) -> None:
+    def _flush(self, conn: Any) -> None:
         try:
             sent = conn.sock.send(conn.outbuf) if conn.outbuf else 0
         except OSError as exc:
-            if exc.errno not in AGAIN:
+            if exc.errno not in RETRY_ERRNOS:
                 conn.socket_error = True
                 self.close_conn(conn)
             return
@@ -171,10 +169,10 @@
         if conn.outbuf:
             return
         conn.writing = False
-        self._want(conn)
-        self._all_sent(conn)
+        self._update_interest(conn)
+        self._write_complete(conn)
 
-    def _all_sent(self, conn: Any) -> None:
+    def _write_complete(self, conn: Any) -> None:
         if conn.close_when_sent:
             self.close_conn(conn)
             return
@@ -182,7 +180,7 @@
 
 
 def open_listener(ip: str, port: int) -> socket.socket:
-    """Return a listening socket."""
+    """Return a non-blocking listening socket."""
     family = socket.AF_INET6 if ":" in ip else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -193,13 +191,12 @@
 
 
 def accept_pending(listening: socket.socket) -> Iterator[tuple[socket.socket, str]]:
-    """Take the connections that wait; yield each with its other end's IP number."""
+    """Accept pending connections; yield each with the IP address of the peer."""
     while True:
         try:
             sock, (ip, *_) = listening.accept()
         except OSError:
-            # None waits, or this one is gone or can't be taken for want of descriptors:
-            # the poller comes back as long as any waits.
+            # None is pending, or accept failed; the poller reports pending ones again.
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -207,7 +204,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the host and the port of an address."""
+    """Split an address into host and port."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -215,10 +212,10 @@
 def enable_keepalive(
     sock: socket.socket, *, keepalive_probes: int, unacked_timeout_ms: int = 0
 ) -> None:
-    """Have the kernel end a connection that says nothing more, without a reset.
+    """Enable TCP keepalive, to detect peers that vanished without closing.
 
-    It ends after some unanswered probes, or once sent bytes have not been acknowledged
-    for `unacked_ms`, milliseconds; 0 leaves that to the kernel's own limit.
+    `unacked_timeout_ms` limits how long sent data may stay unacknowledged; 0 keeps the
+    default of the kernel.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
@@ -229,7 +226,7 @@
 
 
 def dial(address: str) -> socket.socket | None:
-    """Return a socket that is connecting to an address, or `None`."""
+    """Start a non-blocking connect; return `None` if it fails immediately."""
     host, port = split_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
--- a/ferrydeck/signed/net/driver.py
+++ b/ferrydeck/signed/net/driver.py
@@ -215,7 +215,7 @@
 
     def _target_answered(self, event: http_client.Event) -> None:
         match event:
-            case http_client.Replied():
+            case http_client.Answer():
                 self.feed(
                     events.TargetHead(
                         dispatch=event.ticket,
@@ -225,7 +225,7 @@
                         total=event.total,
                     )
                 )
-            case http_client.More(ticket=ticket, data=data):
+            case http_client.BodyPart(ticket=ticket, data=data):
                 self.feed(events.TargetPart(dispatch=ticket, data=data))
             case request_client.RequestFailed(ticket=ticket, sent=sent, detail=detail):
                 reason = REASONS_BY_DETAIL.get(detail, messages.Reason.TARGET_LOST)
