--- a/ferrydeck/config/__init__.py
+++ b/ferrydeck/config/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and bundles: typed classes, options and findings."""
+"""Declarative options and validation findings."""
--- a/ferrydeck/net/__init__.py
+++ b/ferrydeck/net/__init__.py
@@ -1,1 +1,1 @@
-"""What both programs share of sockets and HTTP, on the circuits loop."""
+"""Sockets and HTTP on the circuits loop, shared by both daemons."""
--- a/ferrydeck/net/request_client.py
+++ b/ferrydeck/net/request_client.py
@@ -52,7 +52,7 @@
 
     conn_class: type[RequestConn] = RequestConn
     keepalive_probes = 1
-    """Unanswered keepalive probes that end a connection; few, as requests are retried."""
+    """Unanswered keepalive probes after which a connection is closed."""
     unacked_timeout_ms = 0
     """Limit for unacknowledged sent data, milliseconds; 0 for the kernel's default."""
     until_close = False
--- a/ferrydeck/signed/__init__.py
+++ b/ferrydeck/signed/__init__.py
@@ -1,1 +1,1 @@
-"""`ferrydeckd`: the daemon under signed bundles, with at-most-once keys."""
+"""`ferrydeckd`: the daemon with signed bundles and at-most-once keys."""
--- a/ferrydeck/signed/net/__init__.py
+++ b/ferrydeck/signed/net/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets round the core of `ferrydeckd`."""
+"""Networking of `ferrydeckd`."""
--- a/ferrydeck/signed/net/admin.py
+++ b/ferrydeck/signed/net/admin.py
@@ -1,7 +1,6 @@
-"""The admin endpoint, by `circuits.web`: metrics, health, status, audit, drain.
+"""The admin endpoint: metrics, health, status, audit and drain, with `circuits.web`.
 
-Owns the form of the status page; reads the core's state and changes none, but that an
-operator can have the daemon leave.
+Reads the core's state; only `drain` changes it.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class PeerStatus:
-    """One known box."""
+    """State of a known box."""
 
     box: str
     incarnation: int
@@ -31,7 +30,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Status:
-    """How a daemon stands."""
+    """State of the daemon."""
 
     box: str
     incarnation: int
@@ -50,7 +49,7 @@
 
 
 def status_of(drv: driver.Driver) -> Status:
-    """Return how the daemon stands now."""
+    """Return the current state of the daemon."""
     core = drv.core
     now = clock.now()
     active = core.ctx.active
@@ -74,7 +73,7 @@
 
 
 def peer_status(peer: object, now: float) -> PeerStatus:
-    """Return how a known box stands as seen from here."""
+    """Return the state of a known box as seen by this daemon."""
     member = peer.member
     return PeerStatus(
         box=member.box,
@@ -88,51 +87,51 @@
 
 
 class Admin(web.Controller):
-    """The pages of the admin endpoint."""
+    """Handlers of the admin endpoint."""
 
     channel = "/"
     drv: driver.Driver
 
     def metrics(self) -> bytes:
-        """Return the metrics in the text form of Prometheus."""
+        """Return the metrics in the Prometheus text format."""
         self.response.headers["Content-Type"] = "text/plain; version=0.0.4"
         now = clock.now()
         drv = self.drv
         return drv.metrics.render(drv.core, drv.peers, drv.links, now)
 
     def health(self) -> str:
-        """Answer, which shows that the loop runs."""
+        """Respond, to show that the event loop is running."""
         return "ok\n"
 
     def ready(self) -> str:
-        """Answer 200 where the daemon serves, else 503."""
+        """Return status 200 if the daemon is ready, else 503."""
         if not self.drv.core.ready:
             self.response.status = 503
             return "not ready\n"
         return "ready\n"
 
     def status(self) -> bytes:
-        """Return how the daemon stands, as JSON."""
+        """Return the state of the daemon as JSON."""
         self.response.headers["Content-Type"] = JSON
         return msgspec.json.encode(status_of(self.drv))
 
     def audit(self) -> bytes:
-        """Return the audit trail, one JSON object a line."""
+        """Return the audit trail as JSON Lines."""
         self.response.headers["Content-Type"] = "application/jsonl"
         lines = [msgspec.json.encode(entry) for entry in self.drv.audit_trail.entries]
         return b"\n".join(lines) + b"\n"
 
     def drain(self) -> str:
-        """Begin to leave without ending the process."""
+        """Start to leave the cluster without exiting."""
         if self.request.method != "POST":
             self.response.status = 405
             return "use POST\n"
-        self.drv.leave(end=False, reason="drain asked by an operator")
+        self.drv.leave(end=False, reason="drain requested by an operator")
         return "draining\n"
 
 
 def open_admin(drv: driver.Driver, ip: str, port: int) -> None:
-    """Open the admin endpoint on the daemon's loop."""
+    """Open the admin endpoint on the daemon's event loop."""
     server = web.Server((ip, port), display_banner=False)
     server.register(drv)
     controller = Admin()
--- a/ferrydeck/signed/net/driver.py
+++ b/ferrydeck/signed/net/driver.py
@@ -64,7 +64,7 @@
             wake = self.core.next_wake()
         if self.peers.waiting:
             self.peers.retry()
-            event.reduce_time_left(peers.RETRY_EVERY_S)
+            event.reduce_time_left(peers.RETRY_INTERVAL_S)
         if wake is not None:
             event.reduce_time_left(max(0.0, wake - clock.now()))
 
@@ -208,7 +208,7 @@
             effect.dispatch,
             method=effect.method,
             path=effect.path,
-            fields=fields.plain(effect.headers),
+            fields=fields.to_fields(effect.headers),
             body=effect.body,
             deadline=clock.now() + effect.timeout_s,
         )
@@ -220,7 +220,7 @@
                     events.TargetHead(
                         dispatch=event.ticket,
                         status=event.status,
-                        headers=fields.typed(event.fields),
+                        headers=fields.to_headers(event.fields),
                         body=event.body,
                         total=event.total,
                     )
--- a/ferrydeck/signed/net/fields.py
+++ b/ferrydeck/signed/net/fields.py
@@ -1,4 +1,4 @@
-"""HTTP header fields as the typed headers that travel between daemons, and back."""
+"""Conversion between HTTP header fields and the headers of messages."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from ferrydeck.signed.wire import messages
 
 
-def typed(fields: http.Fields) -> tuple[messages.Header, ...]:
-    """Return fields as typed headers."""
+def to_headers(fields: http.Fields) -> tuple[messages.Header, ...]:
+    """Convert header fields to message headers."""
     return tuple(messages.Header(name=name, value=value) for name, value in fields)
 
 
-def plain(headers: Iterable[messages.Header]) -> http.Fields:
-    """Return typed headers as fields."""
-    return [(one.name, one.value) for one in headers]
+def to_fields(headers: Iterable[messages.Header]) -> http.Fields:
+    """Convert message headers to header fields."""
+    return [(header.name, header.value) for header in headers]
--- a/ferrydeck/signed/net/http_server.py
+++ b/ferrydeck/signed/net/http_server.py
@@ -1,7 +1,7 @@
-"""The HTTP endpoints for callers: one request a connection at a time.
+"""HTTP server for callers; pipelined requests are processed one at a time.
 
-Owns the connections of callers and the requests that wait on them; relies on the driver
-to feed its events to the core and to bring back the core's answers.
+Owns the callers' connections; the driver feeds its events to the core and passes the
+core's answers back.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 from ferrydeck.signed.core import effects, events, headers
 from ferrydeck.signed.net import fields
 
-READ_AHEAD = 256 * 1024
-"""Bytes of further requests that are read ahead while one is answered."""
-BACKLOG_LOW = 128 * 1024
-"""Unsent bytes below which the next part of a long answer is asked for."""
+MAX_READ_AHEAD_BYTES = 256 * 1024
+"""Limit of buffered input while a request is in progress, bytes."""
+LOW_WATER_BYTES = 128 * 1024
+"""Unsent bytes below which the next part of a streamed answer is requested."""
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-numbers = itertools.count(1)
+request_numbers = itertools.count(1)
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -31,18 +31,17 @@
 
     head: http.RequestHead | None = None
     call: int = 0
-    """Number of the request that is being answered; 0 for none."""
-    left: int = 0
-    """Bytes of the answer that are still to come."""
-    owed: int = 0
-    """Parts that were sent and not yet reported as passed on."""
+    """Number of the request in progress; 0 for none."""
+    remaining_bytes: int = 0
+    """Remaining bytes of the answer."""
+    unreported_parts: int = 0
+    """Sent parts that were not yet reported to the core."""
 
 
 class HttpServer(sockets.SocketComponent):
-    """Reads requests, hands them on and writes their answers.
+    """Reads requests, feeds them to the core and writes the answers.
 
-    A request that comes before the last one is answered waits, so an answer
-    can't go to another request. Each request has a number of its own.
+    Each request has a unique number; pipelined requests wait for the previous answer.
     """
 
     def __init__(
@@ -63,10 +62,9 @@
         self.poller.watch(self.listening, self.on_read, self.on_write)
 
     def stop_listening(self) -> None:
-        """Take no new connection; those there are, or wait to be taken, go on.
+        """Stop accepting connections; existing and pending ones continue.
 
-        The kernel resets connections that nobody accepted, and with them the
-        requests that they may have sent, so these are accepted first.
+        Accepts the pending connections first, as the kernel would reset them.
         """
         if self.listening is None:
             return
@@ -77,73 +75,73 @@
         self.listening = None
 
     def listener_readable(self, source: object) -> None:
-        """Take the connections that wait."""
+        """Accept pending connections."""
         if source is not self.listening:
             return
         for sock, _ in sockets.accept_pending(self.listening):
             self.add_conn(CallerConn(sock=sock))
 
     def data_received(self, conn: CallerConn, data: bytes) -> None:
-        """Read a request, or buffer it while another one is answered."""
+        """Read a request, or buffer it while another one is in progress."""
         conn.inbuf += data
         if not conn.call:
             self._next_request(conn)
-        elif len(conn.inbuf) > READ_AHEAD:
+        elif len(conn.inbuf) > MAX_READ_AHEAD_BYTES:
             self.pause_reading(conn)
 
     def answer(self, effect: effects.AnswerCaller) -> None:
-        """Write an answer, or the head and first part of a long one."""
+        """Write a complete answer, or the head and first part of a streamed one."""
         conn = self.by_call.get(effect.conn)
         if conn is None or conn.closed:
             return
         close = not conn.head.keep_alive or self.listening is None
-        plain = fields.plain(effect.headers)
-        head = http.response_head(effect.status, plain, effect.total, close=close)
-        conn.left = effect.total - len(effect.body)
-        conn.close_when_sent = close and conn.left <= 0
-        if conn.left <= 0:
+        pairs = fields.to_fields(effect.headers)
+        head = http.response_head(effect.status, pairs, effect.total, close=close)
+        conn.remaining_bytes = effect.total - len(effect.body)
+        conn.close_when_sent = close and conn.remaining_bytes <= 0
+        if conn.remaining_bytes <= 0:
             self._finish(conn)
         self.send(conn, head + effect.body)
         if not conn.call and not conn.closed:
             self._next_request(conn)
 
     def pass_part(self, effect: effects.PassPart) -> None:
-        """Write a further part of a long answer."""
+        """Write a subsequent part of a streamed answer."""
         conn = self.by_call.get(effect.conn)
         if conn is None or conn.closed:
             return
-        conn.left -= len(effect.data)
-        conn.owed += 1
-        if conn.left <= 0:
+        conn.remaining_bytes -= len(effect.data)
+        conn.unreported_parts += 1
+        if conn.remaining_bytes <= 0:
             conn.close_when_sent = not conn.head.keep_alive or self.listening is None
             self._finish(conn)
         self.send(conn, effect.data)
-        if len(conn.outbuf) < BACKLOG_LOW:
-            self._report_passed(conn)
+        if len(conn.outbuf) < LOW_WATER_BYTES:
+            self._report_parts(conn)
         if not conn.call and not conn.closed:
             self._next_request(conn)
 
     def abort(self, call: int) -> None:
-        """Close the connection of a call whose answer can't be completed."""
+        """Close the connection of a call whose answer was aborted."""
         conn = self.by_call.get(call)
         if conn is not None:
             self._finish(conn)
             self.close_conn(conn)
 
     def drained(self, conn: CallerConn) -> None:
-        """Ask for the next parts once the last ones are out."""
-        self._report_passed(conn)
+        """Request further parts when the write buffer is empty."""
+        self._report_parts(conn)
 
     def connection_lost(self, conn: CallerConn) -> None:
-        """Report a caller that went away before its answer was out."""
+        """Report a caller that disconnected before its answer was complete."""
         if conn.call:
             call = conn.call
             self._finish(conn)
             self.feed(events.CallerGone(conn=call))
 
-    def _report_passed(self, conn: CallerConn) -> None:
-        owed, conn.owed = conn.owed, 0
-        for _ in range(owed if conn.call else 0):
+    def _report_parts(self, conn: CallerConn) -> None:
+        unreported_parts, conn.unreported_parts = conn.unreported_parts, 0
+        for _ in range(unreported_parts if conn.call else 0):
             self.feed(events.PartPassed(conn=conn.call))
 
     def _finish(self, conn: CallerConn) -> None:
@@ -153,7 +151,7 @@
         self.resume_reading(conn)
 
     def _next_request(self, conn: CallerConn) -> None:
-        """Hand on the request at the front of the buffer, once it is whole."""
+        """Feed the next buffered request to the core if it is complete."""
         if conn.close_when_sent:
             return
         if conn.head is None and not self._read_head(conn):
@@ -162,7 +160,7 @@
             return
         body = bytes(conn.inbuf[: conn.head.length])
         del conn.inbuf[: conn.head.length]
-        conn.call = next(numbers)
+        conn.call = next(request_numbers)
         self.by_call[conn.call] = conn
         self.feed(
             events.CallReceived(
@@ -170,13 +168,13 @@
                 local=self.local,
                 method=conn.head.method,
                 path=conn.head.path,
-                headers=fields.typed(conn.head.fields),
+                headers=fields.to_headers(conn.head.fields),
                 body=body,
             )
         )
 
     def _read_head(self, conn: CallerConn) -> bool:
-        """Read the next head; false where it is not whole or not usable."""
+        """Parse the next head; return false if incomplete or malformed."""
         while conn.inbuf[:2] == b"\r\n":
             del conn.inbuf[:2]
         end = conn.inbuf.find(http.END_OF_HEAD)
@@ -196,14 +194,14 @@
         return not conn.closed
 
     def _reject(self, conn: CallerConn, fault: http.Malformed) -> None:
-        """Answer what is no request and close: where the next begins isn't known."""
+        """Reject a malformed request and close, as the next one can't be located."""
         body = f"not-run: {fault.detail}\n".encode("latin-1", "replace")
-        plain = [
+        pairs = [
             (headers.OUTCOME, effects.Outcome.NOT_RUN),
             ("content-type", "text/plain"),
         ]
         conn.inbuf.clear()
         conn.close_when_sent = True
-        head = http.response_head(fault.status, plain, len(body), close=True)
+        head = http.response_head(fault.status, pairs, len(body), close=True)
         self.pause_reading(conn)
         self.send(conn, head + body)
--- a/ferrydeck/signed/net/links.py
+++ b/ferrydeck/signed/net/links.py
@@ -1,11 +1,9 @@
-"""The links that calls travel on: one TCP connection from a caller's daemon to a
-target's, answers come back on it.
-
-Owns these connections and the messages that wait for one to stand; relies on the core
-to retry what it reports as blocked. `pynng` carries everything else between daemons. It
-did not fit the call path: its threads add 0.5 ms at the median and 4 ms at the 99th of
-100 round trips (docs/design/signed-rounds.md has the figures), and it can't report that
-a connection ended.
+"""Links for call messages: one TCP connection from a caller's daemon to a target's.
+
+Answers return on the same connection. Owns the connections and the messages queued
+until they are established; the core must retry messages reported as blocked. Other
+messages use `pynng` (see `peers.py`), which adds latency and does not report closed
+connections; docs/design/signed-rounds.md has the figures.
 """
 
 from __future__ import annotations
@@ -20,8 +18,8 @@
 from ferrydeck.signed.core import effects, events
 from ferrydeck.signed.wire import codec, messages
 
-BACKLOG = 4 * 1024 * 1024
-"""Unsent bytes on a link from which on new calls count as blocked."""
+MAX_BACKLOG_BYTES = 4 * 1024 * 1024
+"""Unsent bytes on a link above which new messages are reported as blocked."""
 REQUESTS = (messages.Forward, messages.Cancel, messages.Credit)
 REPLIES = (
     messages.Answer,
@@ -31,25 +29,25 @@
     messages.Broken,
 )
 CALL_MESSAGES = REQUESTS + REPLIES
-IDLE_S = 60.0
-"""After this long without a message a link is closed, seconds."""
+IDLE_TIMEOUT_S = 60.0
+"""Idle time after which a link is closed, seconds."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Link(frame_links.Link):
-    """A connection with another daemon."""
+    """A connection to another daemon."""
 
     box: str = ""
     incarnation: int = 0
-    """The daemon at the other end of an incoming link."""
-    used: float = 0.0
-    """When a message was last sent on it; time of `clock.now`."""
-    waiting: list[effects.SendPeer] = attrs.Factory(list)
-    """Messages from before the connection stood; none of them has left."""
+    """Incarnation of the remote daemon of an incoming link."""
+    last_sent: float = 0.0
+    """When the last message was sent; time of `clock.now`."""
+    queue: list[effects.SendPeer] = attrs.Factory(list)
+    """Messages queued until the connection is established."""
 
 
 class Links(frame_links.FrameLinks):
-    """Sends and receives the messages of calls."""
+    """Sends and receives call messages."""
 
     max_frame_bytes = codec.MAX_MESSAGE_BYTES
 
@@ -67,60 +65,60 @@
         self.cluster = cluster
         self.encode = encode
         self.feed = feed
-        self.out: dict[str, Link] = {}
-        """Links that were dialled, by their address."""
-        self.back: dict[tuple[str, int], Link] = {}
-        """Incoming links, by the box and incarnation at their other end."""
+        self.outgoing: dict[str, Link] = {}
+        """Outgoing links by address."""
+        self.incoming: dict[tuple[str, int], Link] = {}
+        """Incoming links by box and incarnation of the remote daemon."""
 
     def send_peer(self, effect: effects.SendPeer) -> None:
-        """Send a message of a call, or report that it was not sent."""
+        """Send a call message, or report that it was not sent."""
         if isinstance(effect.message, REPLIES):
-            link = self.back.get((effect.box, effect.incarnation))
+            link = self.incoming.get((effect.box, effect.incarnation))
             if link is not None:
                 self._write(link, effect)
             return
-        link = self.out.get(effect.address) or self._dial(effect)
-        if link is None or len(link.outbuf) > BACKLOG:
-            self._blocked(effect)
+        link = self.outgoing.get(effect.address) or self._dial(effect)
+        if link is None or len(link.outbuf) > MAX_BACKLOG_BYTES:
+            self._report_blocked(effect)
         elif link.connected:
             self._write(link, effect)
         else:
-            link.waiting.append(effect)
+            link.queue.append(effect)
 
     def sweep(self, now: float) -> None:
-        """Close the links that nothing was sent on for long."""
-        for link in list(self.out.values()):
-            if now - link.used > IDLE_S and not link.outbuf:
+        """Close idle outgoing links."""
+        for link in list(self.outgoing.values()):
+            if now - link.last_sent > IDLE_TIMEOUT_S and not link.outbuf:
                 self.close_conn(link)
 
     def link_accepted(self, sock: socket.socket) -> None:
-        """Read a link that another daemon made."""
+        """Register an incoming link."""
         self.add_conn(Link(sock=sock, connected=True))
 
     def link_connected(self, link: Link) -> None:
-        """Send what waited for the connection."""
-        waiting, link.waiting = link.waiting, []
-        for effect in waiting:
+        """Send the messages queued for the connection."""
+        queue, link.queue = link.queue, []
+        for effect in queue:
             self._write(link, effect)
 
     def frame_read(self, link: Link, frame: bytes, flags: int) -> None:
-        """Take a message of a call."""
+        """Decode a call message and feed it to the core."""
         received = codec.decode(frame, cluster=self.cluster)
         if isinstance(received, codec.Undecodable):
             self.faults[received.fault] += 1
             return
         if not link.address:
-            self._remember(link, received.envelope)
+            self._register_incoming(link, received.envelope)
         self.feed(events.PeerReceived(received=received))
 
     def connection_lost(self, link: Link) -> None:
-        """Report what was not sent, and that what was sent may have arrived."""
-        if self.out.get(link.address) is link:
-            del self.out[link.address]
-        if self.back.get((link.box, link.incarnation)) is link:
-            del self.back[link.box, link.incarnation]
-        for effect in link.waiting:
-            self._blocked(effect)
+        """Report unsent messages as blocked, and the loss of an outgoing link."""
+        if self.outgoing.get(link.address) is link:
+            del self.outgoing[link.address]
+        if self.incoming.get((link.box, link.incarnation)) is link:
+            del self.incoming[link.box, link.incarnation]
+        for effect in link.queue:
+            self._report_blocked(effect)
         if link.address and link.connected:
             self.feed(events.PeerLost(address=link.address))
 
@@ -128,8 +126,8 @@
         sock = sockets.dial(effect.address)
         if sock is None:
             return None
-        link = Link(sock=sock, address=effect.address, used=clock.now())
-        self.out[effect.address] = link
+        link = Link(sock=sock, address=effect.address, last_sent=clock.now())
+        self.outgoing[effect.address] = link
         self.add_conn(link)
         self.await_writable(link)
         return link
@@ -137,15 +135,15 @@
     def _write(self, link: Link, effect: effects.SendPeer) -> None:
         frame = self.encode(effect)
         self.bytes_out += len(frame)
-        link.used = clock.now()
+        link.last_sent = clock.now()
         self.send(link, frame_links.LENGTH_PREFIX.pack(len(frame)) + frame)
 
-    def _blocked(self, effect: effects.SendPeer) -> None:
+    def _report_blocked(self, effect: effects.SendPeer) -> None:
         self.feed(events.PeerBlocked(box=effect.box, message=effect.message))
 
-    def _remember(self, link: Link, envelope: messages.Envelope) -> None:
-        """Keep the link on which answers go back to a daemon that called here."""
+    def _register_incoming(self, link: Link, envelope: messages.Envelope) -> None:
+        """Register an incoming link for answers to the remote daemon."""
         identity = (envelope.box, envelope.incarnation)
-        if self.back.get(identity) is not link:
+        if self.incoming.get(identity) is not link:
             link.box, link.incarnation = identity
-            self.back[identity] = link
+            self.incoming[identity] = link
--- a/ferrydeck/signed/net/peers.py
+++ b/ferrydeck/signed/net/peers.py
@@ -1,9 +1,8 @@
-"""The messages between daemons that belong to no call: one PULL socket, one PUSH
-socket a peer, by nng.
+"""Control messages between daemons over nng: one PULL socket, one PUSH socket per peer.
 
-They carry members, bundles and shards; calls travel on the links of `links.py`. Owns
-the sockets and the messages that one did not take at once; relies on the driver to call
-`retry` while any wait. `pynng` must not be used across a fork.
+They carry membership, bundles and shards; calls use the links of `links.py`. Owns the
+sockets and the messages queued for them; the driver must call `retry` while any are
+queued. `pynng` must not be used across a fork.
 """
 
 from __future__ import annotations
@@ -20,34 +19,34 @@
 from ferrydeck.signed.core import effects, events
 from ferrydeck.signed.wire import codec
 
-BUFFERED = 64
-"""Messages that nng may keep for a peer that does not take them."""
-AT_ONCE = 128
-"""Messages read before the loop goes on."""
-KEPT = 1000
-"""Messages that are kept for a peer whose socket takes none; the oldest go first."""
-RETRY_EVERY_S = 0.01
-"""How often kept messages are tried again, seconds."""
-IDLE_S = 60.0
-"""After this long without a message a socket is closed, seconds."""
-RECONNECT_MIN_MS = 20
-RECONNECT_MAX_MS = 500
-"""Bounds of nng's waits between two dials of one peer, milliseconds."""
+NNG_BUFFER_SIZE = 64
+"""Size of nng's send and receive buffers, messages."""
+MAX_READS = 128
+"""Maximum number of messages read per iteration of the loop."""
+MAX_QUEUED = 1000
+"""Maximum number of queued messages per peer; the oldest are dropped first."""
+RETRY_INTERVAL_S = 0.01
+"""Time between attempts to send queued messages, seconds."""
+IDLE_TIMEOUT_S = 60.0
+"""Idle time after which a socket is closed, seconds."""
+MIN_RECONNECT_MS = 20
+MAX_RECONNECT_MS = 500
+"""Limits of nng's reconnect delay, milliseconds."""
 
 
 @attrs.define(kw_only=True, eq=False)
-class Link:
-    """The way out to one address."""
+class PeerSocket:
+    """The PUSH socket for one address."""
 
     sock: pynng.Push0
-    used: float
-    kept: collections.deque[bytes] = attrs.Factory(
-        lambda: collections.deque(maxlen=KEPT)
+    last_sent: float
+    queue: collections.deque[bytes] = attrs.Factory(
+        lambda: collections.deque(maxlen=MAX_QUEUED)
     )
 
 
 class Peers(circuits.BaseComponent):
-    """Sends and receives the messages between daemons."""
+    """Sends and receives control messages."""
 
     def __init__(
         self,
@@ -69,7 +68,7 @@
         self.address = f"{ip}:{port}"
         self.version = version
         self.feed = feed
-        self.links: dict[str, Link] = {}
+        self.sockets: dict[str, PeerSocket] = {}
         self.addresses: dict[str, str] = {}
         self.faults: collections.Counter[str] = collections.Counter()
         self.bytes_out = 0
@@ -77,25 +76,25 @@
         self.inbox = pynng.Pull0(
             listen=f"tcp://{self.address}",
             recv_max_size=codec.MAX_MESSAGE_BYTES,
-            recv_buffer_size=BUFFERED,
+            recv_buffer_size=NNG_BUFFER_SIZE,
         )
         self.fd = self.inbox.recv_fd
         self.poller.watch(self.fd, self.on_read, self.on_read)
 
     def on_read(self, source: object) -> None:
-        """Read the messages that are there."""
-        for _ in range(AT_ONCE):
+        """Read the available messages."""
+        for _ in range(MAX_READS):
             try:
                 data = self.inbox.recv(block=False)
             except pynng.TryAgain:
                 return
             except RuntimeError:
-                # The library can't return a message without bytes.
+                # pynng raises RuntimeError for an empty message.
                 data = b""
             self._received(data)
 
     def encode(self, effect: effects.SendPeer) -> bytes:
-        """Return the bytes of a message from this daemon."""
+        """Encode a message with this daemon's envelope."""
         return codec.encode(
             effect.message,
             cluster=self.cluster,
@@ -108,44 +107,44 @@
         )
 
     def send(self, effect: effects.SendPeer) -> None:
-        """Send a message without waiting; keep it where the socket takes no more."""
+        """Send a message without blocking; queue it if the socket is full."""
         data = self.encode(effect)
-        link = self._link(effect.box, effect.address)
-        if link.kept or not self._push(link, data):
-            link.kept.append(data)
+        peer = self._get_socket(effect.box, effect.address)
+        if peer.queue or not self._try_send(peer, data):
+            peer.queue.append(data)
 
     def forget(self, box: str) -> None:
-        """Close the way to a box; what it buffers was for an earlier process."""
+        """Close the socket of a box and discard messages to its old process."""
         address = self.addresses.pop(box, None)
-        link = self.links.pop(address, None)
-        if link is not None:
-            link.sock.close()
+        peer = self.sockets.pop(address, None)
+        if peer is not None:
+            peer.sock.close()
 
     def retry(self) -> None:
-        """Send what was kept, as far as the sockets take it."""
-        for link in self.links.values():
-            while link.kept and self._push(link, link.kept[0]):
-                link.kept.popleft()
+        """Send queued messages until the sockets are full."""
+        for peer in self.sockets.values():
+            while peer.queue and self._try_send(peer, peer.queue[0]):
+                peer.queue.popleft()
 
     @property
     def waiting(self) -> bool:
-        """Whether any message is kept."""
-        return any(link.kept for link in self.links.values())
+        """Whether any message is queued."""
+        return any(peer.queue for peer in self.sockets.values())
 
     def sweep(self, now: float) -> None:
-        """Close the links that nothing was sent on for long."""
-        for address, link in list(self.links.items()):
-            if now - link.used > IDLE_S and not link.kept:
-                link.sock.close()
-                del self.links[address]
+        """Close idle sockets."""
+        for address, peer in list(self.sockets.items()):
+            if now - peer.last_sent > IDLE_TIMEOUT_S and not peer.queue:
+                peer.sock.close()
+                del self.sockets[address]
 
     def close(self) -> None:
         """Close all sockets."""
         self.poller.unwatch(self.fd)
         self.inbox.close()
-        for link in self.links.values():
-            link.sock.close()
-        self.links.clear()
+        for peer in self.sockets.values():
+            peer.sock.close()
+        self.sockets.clear()
 
     def _received(self, data: bytes) -> None:
         self.bytes_in += len(data)
@@ -155,23 +154,23 @@
             return
         self.feed(events.PeerReceived(received=received))
 
-    def _link(self, box: str, address: str) -> Link:
-        link = self.links.get(address)
-        if link is None:
+    def _get_socket(self, box: str, address: str) -> PeerSocket:
+        peer = self.sockets.get(address)
+        if peer is None:
             sock = pynng.Push0(
-                send_buffer_size=BUFFERED,
-                reconnect_time_min=RECONNECT_MIN_MS,
-                reconnect_time_max=RECONNECT_MAX_MS,
+                send_buffer_size=NNG_BUFFER_SIZE,
+                reconnect_time_min=MIN_RECONNECT_MS,
+                reconnect_time_max=MAX_RECONNECT_MS,
             )
             sock.dial(f"tcp://{address}", block=False)
-            link = self.links[address] = Link(sock=sock, used=0.0)
+            peer = self.sockets[address] = PeerSocket(sock=sock, last_sent=0.0)
         self.addresses[box] = address
-        link.used = clock.now()
-        return link
+        peer.last_sent = clock.now()
+        return peer
 
-    def _push(self, link: Link, data: bytes) -> bool:
+    def _try_send(self, peer: PeerSocket, data: bytes) -> bool:
         try:
-            link.sock.send(data, block=False)
+            peer.sock.send(data, block=False)
         except pynng.TryAgain:
             return False
         self.bytes_out += len(data)
--- a/ferrydeck/signed/net/platform_client.py
+++ b/ferrydeck/signed/net/platform_client.py
@@ -1,7 +1,7 @@
-"""The client of the platform's key-value service, its only place in `ferrydeckd`.
+"""Client of the platform's key-value service.
 
-Turns the core's requests into HTTP and the answers into the core's results; the
-operators' tool uses the same functions. Owns the connections to the service.
+Converts the core's requests to HTTP and the answers to results, also for the operators'
+tool. Owns the connections to the service.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from ferrydeck.net import api_client, poller
 from ferrydeck.signed.core import events, platform
 
-CONNECTIONS = 32
-"""Connections to the service at most."""
+MAX_CONNECTIONS = 32
+"""Maximum of connections to the service."""
 
 
 def to_http(request: platform.Request) -> api_client.Call:
-    """Return the HTTP form of a request."""
+    """Convert a request to an HTTP call."""
     match request:
         case platform.Read(key=key):
             return api_client.Call(method="GET", path=f"/kv/{quote(key)}")
@@ -36,7 +36,7 @@
 
 
 def from_http(request: platform.Request, status: int, body: bytes) -> platform.Result:
-    """Return what an answer means; what can't be read counts as no answer."""
+    """Convert an answer to a result; an invalid one becomes `NoAnswer`."""
     try:
         return read_answer(request, status, body)
     except (ValueError, KeyError, TypeError) as exc:
@@ -44,10 +44,7 @@
 
 
 def read_answer(request: platform.Request, status: int, body: bytes) -> platform.Result:
-    """Return what an answer means.
-
-    Raises `ValueError`, `KeyError` or `TypeError` for one that can't be read.
-    """
+    """Parse an answer; raises `ValueError`, `KeyError` or `TypeError`."""
     if status == 404 and not isinstance(request, platform.Write):
         return platform.Absent()
     if status == 409:
@@ -59,16 +56,16 @@
         case platform.Write():
             return platform.Written(version=answer["version"])
         case platform.List():
-            return platform.Listed(entries=tuple(map(entry_of, answer["entries"])))
+            return platform.Listed(entries=tuple(map(parse_entry, answer["entries"])))
         case platform.ListBoxes():
             boxes = tuple(platform.ListedBox(**box) for box in answer["boxes"])
             return platform.BoxList(boxes=boxes)
         case _:
-            return platform.Found(entry=entry_of(answer))
+            return platform.Found(entry=parse_entry(answer))
 
 
-def entry_of(answer: dict[str, object]) -> platform.Entry:
-    """Return the entry in an answer."""
+def parse_entry(answer: dict[str, object]) -> platform.Entry:
+    """Parse an entry of an answer."""
     return platform.Entry(
         key=str(answer["key"]),
         value=str(answer["value"]),
@@ -77,12 +74,12 @@
 
 
 def quote(key: str) -> str:
-    """Return a key as it stands in a path."""
+    """Percent-encode a key for a URL path."""
     return urllib.parse.quote(key)
 
 
 class PlatformClient:
-    """Sends the core's requests and feeds their results back to it."""
+    """Sends the core's requests and feeds the results back to it."""
 
     def __init__(
         self,
@@ -98,11 +95,11 @@
             poller=poller,
             channel="platform",
             address=address,
-            max_connections=CONNECTIONS,
+            max_connections=MAX_CONNECTIONS,
         )
 
     def ask(self, request: platform.Request) -> None:
-        """Send a request; its result is fed to the core."""
+        """Send a request and feed its result to the core."""
         wait_s = request.wait_s if isinstance(request, platform.Watch) else 0.0
         self.api.send(
             to_http(request),
--- a/ferrydeck/signed/wire/__init__.py
+++ b/ferrydeck/signed/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between daemons and their codec."""
+"""Messages between daemons and their codec."""
--- a/ferrydeck/standins/target.py
+++ b/ferrydeck/standins/target.py
@@ -229,7 +229,7 @@
         """Send a part of a body and close the connection."""
         server = self.servers[work.req.port]
         conn = server.by_call[work.req.call]
-        plain = fields.plain(headers_sent)
+        plain = fields.to_fields(headers_sent)
         head = http.response_head(status, plain, len(body), close=False)
         conn.sock.setblocking(True)
         conn.sock.sendall(head + body[: self.behaviour.break_after])
