--- a/ferrydeck/cli.py
+++ b/ferrydeck/cli.py
@@ -1,4 +1,4 @@
-"""`ferrydeck`: the operators' tool."""
+"""`ferrydeck`: the command-line tool for operators."""
 
 from __future__ import annotations
 
@@ -38,32 +38,30 @@
     "explain": explain,
     "summary": summary,
 }
-EXIT_HELP = (
-    "exit codes: 0 done, 1 refused, 2 bad input, 3 not reachable or outcome not known"
-)
+EXIT_HELP = "exit codes: 0 done, 1 refused, 2 invalid input, 3 unreachable or unknown"
 
 
 def parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
-    made = argparse.ArgumentParser(
+    """Return the argument parser."""
+    root = argparse.ArgumentParser(
         prog="ferrydeck", description="The operators' tool.", epilog=EXIT_HELP
     )
-    subparsers = made.add_subparsers(dest="command", required=True, metavar="COMMAND")
+    subparsers = root.add_subparsers(dest="command", required=True, metavar="COMMAND")
     for name, module in COMMANDS.items():
-        about = module.__doc__.partition(": ")[2].strip()
-        sub = subparsers.add_parser(
+        summary_text = module.__doc__.partition(": ")[2].strip()
+        subparser = subparsers.add_parser(
             name,
-            help=about,
-            description=about,
+            help=summary_text,
+            description=summary_text,
             epilog=f"example: {module.EXAMPLE} | {EXIT_HELP}",
         )
-        module.configure(sub)
-        sub.add_argument("--json", action="store_true", help="print JSON")
-    return made
+        module.configure(subparser)
+        subparser.add_argument("--json", action="store_true", help="print JSON")
+    return root
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run one command; return its exit code."""
+    """Run a command and return its exit code."""
     args = parser().parse_args(argv)
     try:
         outcome = COMMANDS[args.command].run(args)
@@ -71,12 +69,12 @@
         outcome = outcomes.BadInput(text=str(exc))
     except exceptions.PlatformUnreachable as exc:
         outcome = outcomes.NotKnown(text=str(exc))
-    show(outcome, as_json=args.json)
+    print_outcome(outcome, as_json=args.json)
     return outcomes.EXIT_CODES[type(outcome)]
 
 
-def show(outcome: outcomes.Outcome, *, as_json: bool) -> None:
-    """Print an outcome: to standard output if done, else to standard error."""
+def print_outcome(outcome: outcomes.Outcome, *, as_json: bool) -> None:
+    """Print an outcome to standard output if it succeeded, else to standard error."""
     stream = sys.stdout if isinstance(outcome, outcomes.Done) else sys.stderr
     if not as_json:
         print(outcome.text, file=stream)
--- a/ferrydeck/clock.py
+++ b/ferrydeck/clock.py
@@ -1,9 +1,7 @@
-"""The clocks of a process: the only module that reads any.
+"""Clocks; no other module reads the time.
 
-A box may be suspended for seconds. The monotonic clock of most libraries stops
-meanwhile, so that a lease, a confirmation, a retry budget or a caller's deadline would
-seem younger than it is by that time. The clock here counts suspensions and never goes
-back.
+A box may be suspended for seconds. `CLOCK_MONOTONIC` stops while suspended, so leases,
+budgets and deadlines would expire late; `CLOCK_BOOTTIME` continues.
 """
 
 from __future__ import annotations
@@ -13,15 +11,15 @@
 
 
 def now() -> float:
-    """Return the time since the box started, its suspensions included, seconds."""
+    """Return the monotonic time including suspension, seconds."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_ns() -> int:
-    """Return the time of day, which may jump either way, nanoseconds."""
+    """Return the wall-clock time, nanoseconds; may jump in either direction."""
     return time.time_ns()
 
 
 def utc_now() -> datetime.datetime:
-    """Return the time of day, for stamps of lines."""
+    """Return the wall-clock time, for timestamps."""
     return datetime.datetime.now(datetime.UTC)
--- a/ferrydeck/exceptions.py
+++ b/ferrydeck/exceptions.py
@@ -1,15 +1,15 @@
-"""The exceptions of ferrydeck and their common base."""
+"""Exceptions of ferrydeck."""
 
 from __future__ import annotations
 
 
 class FerrydeckError(Exception):
-    """Base of every exception that ferrydeck raises on purpose."""
+    """Base class of ferrydeck's exceptions."""
 
 
 class BadInput(FerrydeckError):
-    """A file or an argument that a command was given is not usable."""
+    """A file or an argument of a command is invalid."""
 
 
 class PlatformUnreachable(FerrydeckError):
-    """The platform's service gave no answer, so the outcome is not known."""
+    """The platform did not answer, so the outcome is unknown."""
--- a/ferrydeck/meshd.py
+++ b/ferrydeck/meshd.py
@@ -1,4 +1,4 @@
-"""`ferrydeck-meshd`: starts the daemon on a platform whose store holds the policy."""
+"""`ferrydeck-meshd`: entry point of the daemon with its policy in the store."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run the daemon; return 0 when stopped as planned, 2 for bad settings."""
-    # A reload that is asked for while the libraries are loaded, a fifth of a second,
-    # would end the process. Nothing is missed: the settings are read later.
+    """Run the daemon; return 0 after a normal stop, 2 for invalid settings."""
+    # SIGHUP (reload) would terminate the process during imports; ignoring it is safe,
+    # as the settings are read later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from ferrydeck.mesh import daemon
 
--- a/ferrydeck/outcomes.py
+++ b/ferrydeck/outcomes.py
@@ -1,4 +1,4 @@
-"""How a command of the tool ended: tagged outcomes and their exit codes."""
+"""Outcomes of commands and their exit codes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Done:
-    """The command did what it was asked."""
+    """The command succeeded."""
 
     text: str
     data: Any = None
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Refused:
-    """The command was understood and refused; nothing was changed by it."""
+    """The command was refused and changed nothing."""
 
     text: str
     data: Any = None
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BadInput:
-    """A file or an argument can't be used."""
+    """A file or an argument is invalid."""
 
     text: str
     data: Any = None
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NotKnown:
-    """The other side was not reached, or whether the change was made isn't known."""
+    """The service was unreachable, or it is unknown whether the change was made."""
 
     text: str
     data: Any = None
--- a/ferrydeck/program.py
+++ b/ferrydeck/program.py
@@ -1,4 +1,4 @@
-"""The command line of the two daemons, from its arguments to the exit code."""
+"""Command line of the daemons: arguments, startup and exit codes."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from ferrydeck.config import findings
 
 EXIT_BAD_INPUT = 2
-"""The settings can't be used; the findings are on standard error."""
+"""The settings are invalid; findings are written to standard error."""
 EXIT_ADDRESS_IN_USE = 3
-"""Another process listens at an address of the settings."""
+"""An address in the settings is already in use."""
 
 
 def parser(
     prog: str, description: str, *, epilog: str | None = None
 ) -> argparse.ArgumentParser:
     """Return the parser of a daemon's command line."""
-    made = argparse.ArgumentParser(prog=prog, description=description, epilog=epilog)
-    made.add_argument("--settings", required=True, metavar="FILE")
-    made.add_argument("--check", action="store_true", help="check the file and end")
-    return made
+    root = argparse.ArgumentParser(prog=prog, description=description, epilog=epilog)
+    root.add_argument("--settings", required=True, metavar="FILE")
+    root.add_argument("--check", action="store_true", help="validate the file and exit")
+    return root
 
 
 def start(
@@ -34,8 +34,7 @@
 ) -> int:
     """Load the settings and run the daemon until it is stopped.
 
-    Returns 0 when it was stopped as planned, else one of the exit codes above; raises
-    what `run` raises for any other reason.
+    Returns 0 after a normal stop, else an exit code; other errors of `run` propagate.
     """
     cfg = load(args.settings)
     if isinstance(cfg, findings.Rejected):
@@ -49,6 +48,6 @@
     except OSError as exc:
         if exc.errno != errno.EADDRINUSE:
             raise
-        print(f"{args.settings}: an address is taken: {exc}", file=sys.stderr)
+        print(f"{args.settings}: address already in use: {exc}", file=sys.stderr)
         return EXIT_ADDRESS_IN_USE
     return 0
--- a/ferrydeck/signed/audit.py
+++ b/ferrydeck/signed/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: every change of state of one daemon, the last ones kept."""
+"""The audit trail: the most recent state changes of the daemon."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 log = logbook.Logger(__name__)
 
-KEPT = 2000
+MAX_ENTRIES = 2000
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Entry:
-    """One change."""
+    """A state change."""
 
     time: str
     box: str
@@ -27,20 +27,20 @@
 
 @attrs.define(kw_only=True)
 class Trail:
-    """The changes of this daemon, the oldest first."""
+    """The state changes of this daemon, oldest first."""
 
     box: str
     incarnation: int
     entries: collections.deque[Entry] = attrs.Factory(
-        lambda: collections.deque(maxlen=KEPT)
+        lambda: collections.deque(maxlen=MAX_ENTRIES)
     )
 
     def add(self, action: str, detail: str) -> None:
-        """Add a change, and log it."""
-        moment = clock.utc_now().isoformat(timespec="milliseconds")
+        """Record and log a state change."""
+        timestamp = clock.utc_now().isoformat(timespec="milliseconds")
         self.entries.append(
             Entry(
-                time=moment,
+                time=timestamp,
                 box=self.box,
                 incarnation=self.incarnation,
                 action=action,
--- a/ferrydeck/signed/bundle.py
+++ b/ferrydeck/signed/bundle.py
@@ -1,4 +1,4 @@
-"""The bundle: the operators' versioned policy, and its checks."""
+"""The bundle: the operators' versioned policy and its validation."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 DIGEST = options.Text(pattern=r"([0-9a-f]{64})?")
 METHODS = ("GET", "POST", "PUT", "DELETE", "PATCH")
 SHARD_COUNT = 32
-"""Shards a service; a constant of the protocol, so that no change can split keys."""
+"""Number of shards per service; part of the protocol, as it maps keys to shards."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Retry:
-    """How often work may be tried again."""
+    """Limits of retries."""
 
     allowance: int = options.option(
         options.Number(low=0, high=32, whole=True), default=3
     )
-    """Extra attempts for one request across its whole chain."""
+    """Maximum retries of a request across its call chain."""
     budget: float = options.option(options.Number(low=0, high=1), default=0.1)
-    """Retries as a share of a service's fresh calls, at one daemon."""
+    """Retry budget: ratio of retries to first attempts, per service and daemon."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Once:
-    """Terms of calls that may not repeat."""
+    """Settings of at-most-once calls."""
 
     resend_window_s: float = options.option(
         options.Number(low=1, high=86400), default=60.0
     )
-    """Callers never send a key again later than this after its first sending."""
+    """Time after its first use within which callers may resend a key, seconds."""
     lease_s: float = options.option(options.Number(low=1, high=3600), default=10.0)
-    """How long an owner of shards may go unheard by the platform, seconds."""
+    """Time to live of the lease on owned shards, seconds."""
     max_keys: int = options.option(
         options.Number(low=1, high=10_000_000, whole=True), default=200_000
     )
-    """Keys that one daemon remembers at most."""
+    """Maximum number of keys stored by a daemon."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class RequestClass:
-    """A class of requests; the lowest rank is shed last."""
+    """A class of requests; the class with the lowest rank is shed last."""
 
     name: str = options.option(NAME)
     rank: int = options.option(options.Number(low=0, high=7, whole=True))
@@ -55,18 +55,18 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Service:
-    """What one target of a service carries."""
+    """Capacity of a target of a service."""
 
     name: str = options.option(NAME)
     slots: int = options.option(options.Number(low=1, high=100_000, whole=True))
     connections: int = options.option(options.Number(low=1, high=100_000, whole=True))
     cold_start_s: float = options.option(options.Number(low=0, high=600), default=0.0)
-    """Time over which a target that has just started is ramped up, seconds."""
+    """Slow-start time of a new target, seconds."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Route:
-    """The class and the terms of the calls below one path of a service."""
+    """Class and settings of the calls below a path of a service."""
 
     service: str = options.option(NAME)
     method: str = options.option(options.Choice(values=METHODS))
@@ -76,7 +76,7 @@
     deadline_ms: int = options.option(
         options.Number(low=10, high=3_600_000, whole=True), default=2000
     )
-    """Time that a caller waits when it names no other, and the longest it may name."""
+    """Default and maximum deadline of a call, milliseconds."""
     max_body: int = options.option(
         options.Number(low=0, high=16 * 1024 * 1024, whole=True), default=256 * 1024
     )
@@ -102,36 +102,36 @@
 
     @property
     def longest_deadline_s(self) -> float:
-        """The longest time that any call may take, seconds."""
+        """The longest deadline of any route, seconds."""
         return max((route.deadline_ms for route in self.routes), default=0) / 1000
 
     @property
     def quarantine_s(self) -> float:
-        """How long a successor without the key table takes no unknown key, seconds.
+        """How long a new owner without the key table refuses unknown keys, seconds.
 
-        The lease is part of it: a predecessor may start keys until its lease ends.
+        Includes the lease, as the previous owner may start calls until it expires.
         """
         once = self.once
         return once.resend_window_s + self.longest_deadline_s + once.lease_s
 
     @property
     def key_retention_s(self) -> float:
-        """How long an owner remembers a key after it first saw it, seconds."""
+        """How long an owner stores a key after its first use, seconds."""
         return self.once.resend_window_s + self.longest_deadline_s
 
 
 def load(path: str) -> Bundle | findings.Rejected:
-    """Read and check the bundle file at `path`."""
+    """Read and validate a bundle file."""
     return options.read_file(Bundle, path, check_consistency)
 
 
 def parse(table: dict[str, Any], report: findings.Report) -> Bundle | findings.Rejected:
-    """Check `table` as a bundle."""
+    """Validate a table as a bundle."""
     return options.read_table(Bundle, table, report, check_consistency)
 
 
 def check_consistency(bundle: Bundle, report: findings.Report) -> None:
-    """Report what is wrong between entries that are right alone."""
+    """Report inconsistencies between valid entries."""
     check_names("classes", bundle.classes, report)
     check_names("services", bundle.services, report)
     classes = {entry.name: entry for entry in bundle.classes}
@@ -140,31 +140,31 @@
     for index, route in enumerate(bundle.routes):
         place = f"routes[{index}]"
         if route.class_name not in classes:
-            report.add(f"{place}.class_name", f"no class {route.class_name!r}")
+            report.add(f"{place}.class_name", f"unknown class {route.class_name!r}")
         if route.service not in services:
-            report.add(f"{place}.service", f"no service {route.service!r}")
+            report.add(f"{place}.service", f"unknown service {route.service!r}")
         identity = (route.service, route.method, route.path)
         if identity in seen:
-            report.add(place, "the same service, method and path stand twice")
+            report.add(place, "duplicate service, method and path")
         seen.add(identity)
         if not route.repeatable and route.method == "GET":
             report.add(f"{place}.repeatable", "a GET must be repeatable")
 
 
 def check_names(key: str, entries: tuple[Any, ...], report: findings.Report) -> None:
-    """Report each name that stands twice in `entries`."""
+    """Report duplicate names in `entries`."""
     seen = set()
     for index, entry in enumerate(entries):
         if entry.name in seen:
-            report.add(f"{key}[{index}].name", f"{entry.name!r} stands twice")
+            report.add(f"{key}[{index}].name", f"{entry.name!r} is a duplicate")
         seen.add(entry.name)
 
 
 def canonical_body(bundle: Bundle) -> bytes:
-    """Return the one byte form of `bundle` that is digested and signed."""
+    """Return the canonical encoding of a bundle, which is hashed and signed."""
     return msgspec.json.encode(attrs.asdict(bundle), order="sorted")
 
 
 def digest_of(body: bytes) -> str:
-    """Return the digest of a canonical bundle, as hexadecimal."""
+    """Return the SHA-256 digest of a canonical body, in hexadecimal."""
     return hashlib.sha256(body).hexdigest()
--- a/ferrydeck/signed/daemon.py
+++ b/ferrydeck/signed/daemon.py
@@ -1,6 +1,6 @@
-"""`ferrydeckd`: the daemon, one a box, from its settings to its end.
+"""`ferrydeckd`: the daemon, one per box.
 
-Puts the core, its driver and the admin endpoint together; owns nothing after that.
+Creates the core, its driver and the admin endpoint, and runs them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def make_core(cfg: settings.Settings, incarnation: int) -> daemon_core.Core:
-    """Return the core of the daemon that the settings describe."""
+    """Create the core from the settings."""
     return daemon_core.Core(
         identity=context.Identity(
             cluster=cfg.cluster,
@@ -39,7 +39,7 @@
 
 def run(cfg: settings.Settings) -> None:
     """Run the daemon until it is stopped."""
-    with logs.handler_of(cfg.log).applicationbound():
+    with logs.make_handler(cfg.log).applicationbound():
         _run(cfg)
 
 
@@ -55,14 +55,14 @@
     audit_trail.add("started", f"incarnation {incarnation}")
     drv.start_core()
     app.run()
-    audit_trail.add("ended", "process ends")
+    audit_trail.add("ended", "process exits")
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run `ferrydeckd`; return 0 when stopped as planned, 2 for bad settings."""
+    """Run `ferrydeckd`; return 0 after a normal stop, 2 for invalid settings."""
     parser = program.parser(
         "ferrydeckd",
-        "The ferrydeck daemon, one a box.",
+        "The ferrydeck daemon, one per box.",
         epilog="example: ferrydeckd --settings box.toml",
     )
     return program.start(parser.parse_args(argv), load=settings.load, run=run)
--- a/ferrydeck/signed/logs.py
+++ b/ferrydeck/signed/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by logbook: plain or JSON, one a change of state."""
+"""Logging with logbook, in plain or JSON format."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from ferrydeck.signed import settings
 
-PLAIN = (
+PLAIN_FORMAT = (
     "{record.time:%Y-%m-%dT%H:%M:%S.%f}Z {record.level_name} "
     "{record.channel}: {record.message}"
 )
 
 
 def as_json(record: logbook.LogRecord, handler: logbook.Handler) -> str:
-    """Return a record as one JSON line."""
+    """Format a record as a JSON line."""
     line = {
         "time": record.time.isoformat(),
         "level": record.level_name.lower(),
@@ -26,10 +26,10 @@
     return json.dumps(line | record.extra)
 
 
-def handler_of(cfg: settings.Log) -> logbook.Handler:
-    """Return the handler that writes to standard error as the settings say."""
+def make_handler(cfg: settings.Log) -> logbook.Handler:
+    """Return a handler for standard error with the configured format and level."""
     handler = logbook.StreamHandler(
-        sys.stderr, level=cfg.level.upper(), format_string=PLAIN
+        sys.stderr, level=cfg.level.upper(), format_string=PLAIN_FORMAT
     )
     if cfg.format == "json":
         handler.formatter = as_json
--- a/ferrydeck/signed/metrics.py
+++ b/ferrydeck/signed/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one daemon, by `prometheus_client`."""
+"""Prometheus metrics of the daemon."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 
 
 class Metrics:
-    """Counters that the driver feeds, and gauges that are read at each scrape."""
+    """Counters updated by the driver, and gauges computed at each scrape."""
 
     def __init__(self) -> None:
         registry = prometheus_client.CollectorRegistry()
         self.registry = registry
         self.calls = prometheus_client.Counter(
             "ferrydeck_calls",
-            "Calls that were answered, by class and outcome.",
+            "Completed calls, by class and outcome.",
             ("class_name", "outcome"),
             registry=registry,
         )
         self.attempts = prometheus_client.Counter(
             "ferrydeck_attempts",
-            "Forwardings of calls to boxes, retries included.",
+            "Attempts of calls at boxes, including retries.",
             registry=registry,
         )
         self.refused = prometheus_client.Counter(
             "ferrydeck_calls_refused",
-            "Calls that got no target's answer, by reason.",
+            "Calls without an answer of a target, by reason.",
             ("reason",),
             registry=registry,
         )
         self.seconds = prometheus_client.Histogram(
             "ferrydeck_call_seconds",
-            "Time from a call's arrival to its answer, seconds.",
+            "Time from receiving a call to its answer, seconds.",
             ("class_name",),
             buckets=SECONDS_BUCKETS,
             registry=registry,
         )
-        self.happened = prometheus_client.Counter(
+        self.other_events = prometheus_client.Counter(
             "ferrydeck_events",
-            "What else happened, by name and label; see the operators' page.",
+            "Other events, by name and label; see the operators' page.",
             ("name", "label"),
             registry=registry,
         )
@@ -57,7 +57,7 @@
         self._children: dict[tuple[str, str, str], object] = {}
 
     def finished(self, call: effects.CallFinished) -> None:
-        """Count a call that was answered."""
+        """Count a completed call."""
         self._child(self.calls, call.class_name, call.outcome).inc()
         self._child(self.seconds, call.class_name).observe(call.seconds)
         self.attempts.inc(call.attempts)
@@ -65,8 +65,8 @@
             self._child(self.refused, call.reason).inc()
 
     def count(self, name: str, label: str) -> None:
-        """Count something else that happened."""
-        self._child(self.happened, name, label).inc()
+        """Count another event."""
+        self._child(self.other_events, name, label).inc()
 
     def render(
         self,
@@ -75,7 +75,7 @@
         calls: links.Links,
         now: float,
     ) -> bytes:
-        """Return the text form of all metrics."""
+        """Return all metrics in the text format."""
         load = core.serving.target.load(now)
         values = {
             "in_flight": load.running,
@@ -105,7 +105,7 @@
         self.peers.labels("other").set(len(known) - taking)
 
     def _child(self, metric: object, *labels: str) -> object:
-        """Return the child of a metric, kept since the look-up is dear."""
+        """Return the child of a metric from a cache, as `labels()` is slow."""
         key = (metric._name, *labels)
         child = self._children.get(key)
         if child is None:
@@ -114,15 +114,15 @@
 
 
 GAUGES = {
-    "in_flight": "Jobs that the target works on.",
-    "queued": "Jobs that wait for the target.",
-    "limit": "Jobs that may run at the target at once.",
-    "shed_level": "Priority number above which new jobs are refused.",
-    "callers_waiting": "Calls of callers that are not answered yet.",
-    "bundle_version": "Version of the bundle in force; 0 for none.",
-    "shards_owned": "Shards of calls that must not repeat, owned by this box.",
-    "keys_remembered": "Keys of calls that must not repeat, remembered here.",
-    "lease_left_seconds": "Time left of the lease on shards, seconds.",
+    "in_flight": "Jobs running at the target.",
+    "queued": "Jobs queued for the target.",
+    "limit": "Concurrency limit of the target.",
+    "shed_level": "Priority number above which new jobs are shed.",
+    "callers_waiting": "Calls of callers in progress.",
+    "bundle_version": "Version of the active bundle; 0 for none.",
+    "shards_owned": "Shards of at-most-once keys owned by this box.",
+    "keys_remembered": "At-most-once keys stored by this box.",
+    "lease_left_seconds": "Remaining time of the lease on shards, seconds.",
     "leaving": "1 while the box is leaving.",
     "control_bytes_in": "Bytes of control messages received from other daemons.",
     "control_bytes_out": "Bytes of control messages sent to other daemons.",
--- a/ferrydeck/signed/settings.py
+++ b/ferrydeck/signed/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one daemon: who it is, where it listens, whom it trusts."""
+"""The settings of the daemon."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Endpoint:
-    """A port that the daemon listens on, at its own IP number."""
+    """A port that the daemon listens on at its IP address."""
 
     port: int = options.option(options.PORT)
 
 
 @attrs.define(kw_only=True, frozen=True)
 class PeerEndpoint:
-    """The ports for other daemons: one for calls, one for everything else."""
+    """Ports for other daemons: `call_port` for calls, `port` for control messages."""
 
     port: int = options.option(options.PORT)
     call_port: int = options.option(options.PORT)
@@ -27,7 +27,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class TargetEndpoint:
-    """The back end beside the daemon and the service that it gives."""
+    """The local target and its service."""
 
     service: str = options.option(NAME)
     address: str = options.option(options.Address())
@@ -35,7 +35,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Platform:
-    """Where the platform's key-value service answers."""
+    """Address of the platform's key-value service."""
 
     address: str = options.option(options.Address())
     timeout_s: float = options.option(options.Number(low=0.05, high=60), default=1.0)
@@ -43,7 +43,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Signer:
-    """An operator whose signature on a bundle counts."""
+    """An operator who may sign bundles."""
 
     name: str = options.option(NAME)
     key: str = options.option(KEY_HEX)
@@ -51,7 +51,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Log:
-    """How log lines are written."""
+    """Format and level of the log."""
 
     format: str = options.option(
         options.Choice(values=("plain", "json")), default="plain"
@@ -63,7 +63,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Settings:
-    """Everything that a daemon reads before it starts."""
+    """The settings file of the daemon."""
 
     cluster: str = options.option(NAME)
     box: str = options.option(NAME)
@@ -92,12 +92,12 @@
 
 
 def load(path: str) -> Settings | findings.Rejected:
-    """Read and check the settings file at `path`."""
+    """Read and validate a settings file."""
     return options.read_file(Settings, path, check_consistency)
 
 
-def ports_of(cfg: Settings) -> list[tuple[str, int]]:
-    """Return the ports that the daemon listens on, with their places."""
+def listen_ports(cfg: Settings) -> list[tuple[str, int]]:
+    """Return the keys and values of the ports that the daemon listens on."""
     found = []
     if cfg.peer is not None:
         found.append(("peer.port", cfg.peer.port))
@@ -110,14 +110,14 @@
 
 
 def check_consistency(cfg: Settings, report: findings.Report) -> None:
-    """Report what is wrong between keys that are right alone."""
+    """Report inconsistencies between valid keys."""
     used: dict[int, str] = {}
-    for place, port in ports_of(cfg):
+    for place, port in listen_ports(cfg):
         if port in used:
             report.add(place, f"already used by {used[port]}")
         used[port] = place
     signers = [signer for signer in cfg.signers if signer is not None]
     if len({signer.key for signer in signers}) < cfg.signatures_needed:
-        report.add("signatures_needed", "more than there are different signers' keys")
+        report.add("signatures_needed", "exceeds the number of distinct signer keys")
     if len({signer.name for signer in signers}) != len(signers):
-        report.add("signers", "two signers have the same name")
+        report.add("signers", "duplicate signer name")
--- a/ferrydeck/signed/signing.py
+++ b/ferrydeck/signed/signing.py
@@ -1,4 +1,4 @@
-"""The signed form of a bundle: canonical body, digest and Ed25519 signatures."""
+"""Signed bundles: canonical body, digest and Ed25519 signatures."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Signature:
-    """One operator's signature, in hexadecimal."""
+    """The signature of an operator, in hexadecimal."""
 
     signer: str
     signature: str
@@ -27,7 +27,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class SignedBundle:
-    """A canonical bundle as text, with its signatures."""
+    """A canonical bundle with its signatures."""
 
     body: str
     signatures: tuple[Signature, ...] = ()
@@ -40,7 +40,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Verified:
-    """A signed bundle that passed every check."""
+    """A signed bundle that was verified."""
 
     signed: SignedBundle
     bundle: bundles.Bundle
@@ -54,12 +54,12 @@
 
 
 def encode(signed: SignedBundle) -> bytes:
-    """Return the bytes that are stored and sent for `signed`."""
+    """Encode a signed bundle for storage and transfer."""
     return msgspec.json.encode(signed, order="sorted")
 
 
 def decode(raw: bytes, name: str) -> SignedBundle | findings.Rejected:
-    """Read the bytes of a signed bundle; `name` stands in findings."""
+    """Decode a signed bundle; `name` is used in findings."""
     try:
         return msgspec.json.decode(raw, type=SignedBundle)
     except msgspec.DecodeError as exc:
@@ -67,7 +67,7 @@
 
 
 def sign(signed: SignedBundle, *, signer: str, secret: str) -> SignedBundle:
-    """Return `signed` with the signature of `signer` added or renewed."""
+    """Return `signed` with the signature of `signer` added or replaced."""
     key = ed25519.Ed25519PrivateKey.from_private_bytes(bytes.fromhex(secret))
     made = Signature(
         signer=signer, signature=key.sign(CONTEXT + signed.body.encode()).hex()
@@ -79,7 +79,7 @@
 def verify(
     raw: bytes, *, signers: Iterable[settings.Signer], needed: int, name: str
 ) -> Verified | findings.Rejected:
-    """Check the signatures and the body of a signed bundle."""
+    """Verify the signatures and validate the body of a signed bundle."""
     signed = decode(raw, name)
     if isinstance(signed, findings.Rejected):
         return signed
@@ -88,26 +88,24 @@
     valid = {
         one.signer: keys[one.signer]
         for one in signed.signatures
-        if one.signer in keys and signature_holds(keys[one.signer], one, body)
+        if one.signer in keys and is_valid_signature(keys[one.signer], one, body)
     }
     if len(set(valid.values())) < needed:
-        return rejected(
-            name, "signatures", f"{len(valid)} valid of {needed} that are needed"
-        )
+        return rejected(name, "signatures", f"{len(valid)} valid, {needed} required")
     return verify_body(signed, raw, name, tuple(sorted(valid)))
 
 
 def verify_body(
     signed: SignedBundle, raw: bytes, name: str, signers: tuple[str, ...]
 ) -> Verified | findings.Rejected:
-    """Check that the body is a bundle without findings, in canonical form."""
+    """Check that the body is a valid bundle in canonical form."""
     report = findings.Report(file=name)
     try:
         table = json.loads(signed.body)
     except ValueError as exc:
         return rejected(name, "body", str(exc))
     if not isinstance(table, dict):
-        return rejected(name, "body", "expected a table")
+        return rejected(name, "body", "expected an object")
     bundle = bundles.parse(table, report)
     if isinstance(bundle, findings.Rejected):
         return bundle
@@ -116,10 +114,10 @@
     return Verified(signed=signed, bundle=bundle, raw=raw, signers=signers)
 
 
-def signature_holds(public: str, one: Signature, body: bytes) -> bool:
-    """Return whether a signature fits the key and the body."""
+def is_valid_signature(public_key: str, one: Signature, body: bytes) -> bool:
+    """Return whether a signature is valid for the key and the body."""
     try:
-        key = ed25519.Ed25519PublicKey.from_public_bytes(bytes.fromhex(public))
+        key = ed25519.Ed25519PublicKey.from_public_bytes(bytes.fromhex(public_key))
         key.verify(bytes.fromhex(one.signature), CONTEXT + body)
     except (ValueError, crypto_exceptions.InvalidSignature):
         return False
--- a/ferrydeck/signed/wire/codec.py
+++ b/ferrydeck/signed/wire/codec.py
@@ -1,4 +1,4 @@
-"""The codec of the messages between daemons: MessagePack by msgspec."""
+"""MessagePack codec of the messages between daemons."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from ferrydeck.signed.wire import messages
 
 MAX_MESSAGE_BYTES = 24 * 1024 * 1024
-"""The longest message that is decoded, bytes."""
+"""Maximum length of a message, bytes."""
 
 KINDS = {cls.__name__: cls for cls in typing.get_args(messages.Message)}
 EMPTY_BODY = msgspec.Raw(b"")
-"""The body of an envelope that never crosses the network."""
+"""Body of an envelope that is not sent over the network."""
 
 _encoder = msgspec.msgpack.Encoder()
 _envelopes = msgspec.msgpack.Decoder(messages.Envelope)
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Undecodable:
-    """Bytes that are not a message of ours; `fault` is a label for metrics."""
+    """An invalid message; `fault` is a label of metrics."""
 
     fault: str
     detail: str
@@ -48,7 +48,7 @@
     bundle: int,
     sent: float,
 ) -> bytes:
-    """Return the bytes of `message` in its envelope."""
+    """Encode a message with its envelope."""
     envelope = messages.Envelope(
         protocol=messages.PROTOCOL,
         cluster=cluster,
@@ -65,7 +65,7 @@
 
 
 def decode(data: bytes, *, cluster: str) -> Received | Undecodable:
-    """Return the message in `data`, or what is wrong with it."""
+    """Decode a message, or return why it is invalid."""
     if len(data) > MAX_MESSAGE_BYTES:
         return Undecodable(fault="too-long", detail=f"{len(data)} bytes")
     try:
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -86,9 +86,9 @@
     text = text.replace('name = "catalogue"', 'name = "membership"')
     reasons = [str(one) for one in load_bundle(tmp_path, text).findings]
     assert len(reasons) == 3
-    assert "stands twice" in reasons[0]
-    assert "no service 'catalogue'" in reasons[1]
-    assert "no class 'nothing'" in reasons[2]
+    assert "'membership' is a duplicate" in reasons[0]
+    assert "unknown service 'catalogue'" in reasons[1]
+    assert "unknown class 'nothing'" in reasons[2]
 
 
 def test_a_get_that_may_not_repeat_is_refused(tmp_path):
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -50,7 +50,7 @@
         box.settings.write_text(text.replace(entry, f"port = {port}"))
         ours.restart(box)
         assert box.daemon.popen.wait(fleet.START_S) == program.EXIT_ADDRESS_IN_USE
-        assert "address is taken" in box.daemon.log.read_text()
+        assert "address already in use:" in box.daemon.log.read_text()
         with pytest.raises(AssertionError, match="north-entry has ended with 3"):
             ours.wait_ready(shards=False)
 
