--- a/tests/golden/test_frames.py
+++ b/tests/golden/test_frames.py
@@ -1,7 +1,7 @@
-"""Frames of every message between daemons, recorded once from daemons in use.
+"""Wire compatibility: recorded frames of all messages decode and encode unchanged.
 
-They are read and written as they are, so that daemons of two versions can talk to each
-other. Frames are never recorded anew; a message that is added gets a frame of its own.
+Guards against changes that break communication between versions. Never re-record
+frames; add one for each new message.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize("frame", recorded("mesh"), ids=lambda frame: frame["kind"])
-def test_a_recorded_mesh_frame_is_read_and_written_as_it_is(frame):
+def test_a_recorded_mesh_frame_round_trips(frame):
     raw = bytes.fromhex(frame["hex"])
     message = messages.decode(raw)
     assert tag_of(type(message)) == frame["tag"]
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("frame", recorded("signed"), ids=lambda frame: frame["kind"])
-def test_a_recorded_signed_frame_is_read_and_written_as_it_is(frame):
+def test_a_recorded_signed_frame_round_trips(frame):
     raw = bytes.fromhex(frame["hex"])
     received = codec.decode(raw, cluster=CLUSTER)
     assert isinstance(received, codec.Received), received
@@ -57,15 +57,15 @@
     assert written == raw
 
 
-def test_no_tag_of_the_mesh_lacks_a_frame():
+def test_every_mesh_tag_has_a_recorded_frame():
     tags = {tag_of(cls) for cls in typing.get_args(messages.Any)}
     assert tags == {frame["tag"] for frame in recorded("mesh")}
 
 
-def test_no_kind_of_the_signed_protocol_lacks_a_frame():
+def test_every_signed_kind_has_a_recorded_frame():
     assert set(codec.KINDS) == {frame["kind"] for frame in recorded("signed")}
 
 
-def test_a_mesh_frame_begins_with_its_tag():
+def test_a_mesh_frame_starts_with_its_tag():
     for frame in recorded("mesh"):
         assert msgspec.msgpack.decode(bytes.fromhex(frame["hex"]))[0] == frame["tag"]
--- a/tests/golden/test_logs.py
+++ b/tests/golden/test_logs.py
@@ -1,4 +1,4 @@
-"""Lines of decision logs as daemons in use wrote them, and what the commands print."""
+"""Output of the log commands for recorded decision logs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("run", RUNS, ids=lambda run: " ".join(run["args"]))
-def test_a_command_prints_what_it_printed(run, capsys):
+def test_the_output_of_a_command_is_unchanged(run, capsys):
     code = cli.main([*run["args"], *FILES])
     printed = capsys.readouterr()
     assert (code, printed.out, printed.err) == (run["code"], run["out"], run["err"])
--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -1,6 +1,6 @@
-"""What the stores hold, as daemons in use wrote it: read today, and written the same.
+"""Storage compatibility: recorded values decode and encode unchanged.
 
-Values of a policy are compared without the names of fields, which may change.
+Policies are compared without field names, which may change.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     return json.loads((STORED / f"{name}.json").read_text())
 
 
-def values(thing: object) -> list[object]:
-    """Return the values of a data class in an order that no rename changes."""
-    found = [plain(value) for value in attrs.astuple(thing, recurse=False)]
+def values(instance: object) -> list[object]:
+    """Return the values of a data class in an order independent of field names."""
+    found = [plain(value) for value in attrs.astuple(instance, recurse=False)]
     return sorted(found, key=repr)
 
 
@@ -43,52 +43,52 @@
     return value
 
 
-def test_records_of_boxes_are_read_and_written_as_they_are():
-    held = recorded("box_records")
-    result = kv.from_http(store.ReadBoxes(), 200, [held["page"].encode()])
-    assert result.odd == held["odd"]
-    for record, write in zip(result.records, held["writes"], strict=True):
+def test_box_records_round_trip():
+    entry = recorded("box_records")
+    result = kv.from_http(store.ReadBoxes(), 200, [entry["page"].encode()])
+    assert result.odd == entry["odd"]
+    for record, write in zip(result.records, entry["writes"], strict=True):
         call = kv.to_http(store.PutBox(record=record, lease=write["lease"]))
         assert (call.method, call.path) == (write["method"], write["path"])
         assert call.body.decode() == write["body"]
 
 
 @pytest.mark.parametrize("held", recorded("policies"))
-def test_a_policy_is_read_as_before_and_passed_on_as_it_is(held):
-    result = kv.from_http(store.ReadPolicy(), 200, [held["body"].encode()])
-    made = result.policy
-    assert (result.at, result.fault) == (held["at"], "")
-    assert (made.version, made.revision) == (held["version"], held["revision"])
-    assert made.raw == base64.b64decode(json.loads(held["body"])["value"])
-    assert [values(one) for one in made.routes] == held["routes"]
-    assert sorted(made.services) == held["services"]
-    assert values(made.caller_limits) == held["limits"]
-    assert [values(one) for one in made.teams.values()] == held["teams"]
-    for key, team in held["keys"].items():
-        found = made.keyring.find(key)
+def test_a_policy_is_parsed_and_kept_unchanged(entry):
+    result = kv.from_http(store.ReadPolicy(), 200, [entry["body"].encode()])
+    parsed = result.policy
+    assert (result.at, result.fault) == (entry["at"], "")
+    assert (parsed.version, parsed.revision) == (entry["version"], entry["revision"])
+    assert parsed.raw == base64.b64decode(json.loads(entry["body"])["value"])
+    assert [values(one) for one in parsed.routes] == entry["routes"]
+    assert sorted(parsed.services) == entry["services"]
+    assert values(parsed.caller_limits) == entry["limits"]
+    assert [values(one) for one in parsed.teams.values()] == entry["teams"]
+    for key, team in entry["keys"].items():
+        found = parsed.keyring.find(key)
         assert (found.name if found else None) == team
-    for host, path, route in held["found"]:
-        found = made.find(host, path)
+    for host, path, route in entry["found"]:
+        found = parsed.find(host, path)
         assert (found.name if found else None) == route
 
 
-def test_a_signed_bundle_is_verified_and_written_as_it_is():
-    held = recorded("signed")
-    raw = held["bundle"].encode()
-    signer = settings.Signer(name=held["signer"], key=held["key"])
+def test_a_signed_bundle_is_verified_and_round_trips():
+    entry = recorded("signed")
+    raw = entry["bundle"].encode()
+    signer = settings.Signer(name=entry["signer"], key=entry["key"])
     verified = signing.verify(raw, signers=(signer,), needed=1, name="recorded")
     assert isinstance(verified, signing.Verified), verified
-    assert verified.digest == held["digest"]
+    assert verified.digest == entry["digest"]
     assert signing.encode(verified.signed) == raw
     assert bundles.canonical_body(verified.bundle) == verified.signed.body.encode()
 
 
-def test_records_of_shards_are_read_and_written_as_they_are():
+def test_shard_records_round_trip():
     for value in recorded("signed")["shards"]:
         record = msgspec.json.decode(value, type=shard_records.ShardRecord)
         assert msgspec.json.encode(record).decode() == value
 
 
-def test_leases_are_read_and_written_as_they_are():
+def test_leases_round_trip():
     for value in recorded("signed")["leases"]:
         assert leases.encode(leases.decode(value)) == value
--- a/tests/net/test_api_client.py
+++ b/tests/net/test_api_client.py
@@ -1,4 +1,4 @@
-"""Calls of an HTTP API whose connections fall silent, against a listening socket."""
+"""API and target clients whose server stops responding."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 TIMEOUT_S = 1.5
 
 
-class Api:
-    """A client, with a server whose connections the test holds."""
+class ClientAndServer:
+    """A client and a server whose connections the test controls."""
 
     def __init__(self) -> None:
         self.listening = socket.create_server(("127.0.0.1", 0))
@@ -55,14 +55,13 @@
 
 @pytest.fixture
 def api():
-    made = Api()
-    yield made
-    made.listening.close()
+    instance = ClientAndServer()
+    yield instance
+    instance.listening.close()
 
 
-# Guards against calls that are lost one after the other, each on another connection
-# that has fallen silent, while new connections work.
-def test_after_a_call_without_an_answer_the_next_takes_a_new_connection(api):
+# Guards against consecutive failures of calls on dead idle connections.
+def test_a_timeout_closes_idle_connections(api):
     for _ in range(4):
         api.call()
     silent = [api.accept() for _ in range(4)]
@@ -76,22 +75,20 @@
     assert isinstance(api.results[-1], api_client.Answer)
 
 
-# Guards against a call that waits on a silent connection for as long as it may, while
-# the answer has long been sent.
-def test_the_kernel_looks_for_silence_on_a_connection_without_data(api):
+# Guards against calls that wait for their timeout on a dead connection.
+def test_keepalive_detects_dead_connections_within_two_seconds(api):
     api.call()
     api.accept()
     [sock] = api.client.http.conns
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
-    spent_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
-    each_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
+    idle_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
+    interval_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
     probes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
-    assert spent_s + each_s * probes <= 2.0
+    assert idle_s + interval_s * probes <= 2.0
 
 
-# Guards against a request that waits until its deadline for an answer which a silent
-# connection to the target has swallowed, or on one that has swallowed the request.
-def test_a_silent_connection_to_the_target_ends_within_three_seconds(api):
+# Guards against requests that wait for their deadline on a dead connection.
+def test_dead_connections_to_the_target_are_detected_within_three_seconds(api):
     host, port = api.listening.getsockname()
     client = target_client.TargetClient(
         poller=api.poller, address=f"{host}:{port}", listener=lambda event: None
@@ -110,13 +107,13 @@
         return list(client.conns)[-1]
 
     sock = request(b"12")
-    spent_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
-    each_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
+    idle_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
+    interval_s = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL)
     probes = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT)
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
-    assert spent_s + each_s * probes <= 3.0
+    assert idle_s + interval_s * probes <= 3.0
     unacked_ms = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
     assert 0 < unacked_ms <= 3000
-    # A target may leave a long body unread for as long as it likes.
+    # No limit for long bodies, as a target may read them slowly.
     sock = request(bytes(target_client.MAX_WHOLE_BODY_BYTES + 1))
     assert not sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
--- a/tests/net/test_deflate.py
+++ b/tests/net/test_deflate.py
@@ -40,7 +40,7 @@
     return messages.encode(message)
 
 
-def test_frames_come_out_as_they_went_in():
+def test_frames_round_trip():
     sender, receiver = deflate.Deflater(), deflate.Inflater()
     frames = [small_call(n) for n in range(50)]
     frames += [b"", os.urandom(deflate.MAX_FRAME_BYTES), b"x" * deflate.MAX_FRAME_BYTES]
@@ -48,19 +48,19 @@
         assert receiver.unpack(sender.pack(frame)) == frame
 
 
-def test_small_calls_take_less_than_half_the_bytes():
+def test_small_calls_shrink_by_more_than_half():
     sender = deflate.Deflater()
     frames = [small_call(number) for number in range(200)]
     packed = sum(len(sender.pack(frame)) for frame in frames)
     assert packed < 0.45 * sum(map(len, frames))
 
 
-def test_bytes_that_are_no_frame_are_refused():
+def test_invalid_data_is_rejected():
     with pytest.raises(ValueError, match="invalid"):
         deflate.Inflater().unpack(b"\xff\xff\xff\xff")
 
 
-def test_a_frame_that_grows_beyond_the_longest_is_refused():
+def test_a_frame_that_inflates_beyond_the_limit_is_rejected():
     packed = deflate.Deflater().pack(b"x" * (deflate.MAX_FRAME_BYTES + 100))
     with pytest.raises(ValueError, match="too long"):
         deflate.Inflater().unpack(packed)
--- a/tests/net/test_frame_links.py
+++ b/tests/net/test_frame_links.py
@@ -1,4 +1,4 @@
-"""Frames on the links between daemons, as both programs read them."""
+"""Framing on the links between daemons."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Links(frame_links.FrameLinks):
-    """Links that keep the frames they read; the first one may raise."""
+    """Links that record received frames; the next one may raise."""
 
     max_frame_bytes = 100
 
@@ -18,11 +18,11 @@
         super().__init__(
             poller=poller.Poller(), channel="links", ip="127.0.0.1", port=0
         )
-        self.read: list[bytes] = []
+        self.received: list[bytes] = []
         self.raises = False
 
     def frame_read(self, link: frame_links.Link, frame: bytes, flags: int) -> None:
-        self.read.append(frame)
+        self.received.append(frame)
         if self.raises:
             self.raises = False
             raise RuntimeError("a handler that raises")
@@ -30,32 +30,32 @@
 
 @pytest.fixture
 def links():
-    made = Links()
-    yield made
-    made.close()
+    instance = Links()
+    yield instance
+    instance.close()
 
 
 @pytest.fixture
 def link():
-    ours, theirs = socket.socketpair()
-    yield frame_links.Link(sock=ours, connected=True)
-    ours.close()
-    theirs.close()
+    local, remote = socket.socketpair()
+    yield frame_links.Link(sock=local, connected=True)
+    local.close()
+    remote.close()
 
 
-def framed(*frames: bytes) -> bytes:
+def encoded(*frames: bytes) -> bytes:
     return b"".join(frame_links.LENGTH_PREFIX.pack(len(one)) + one for one in frames)
 
 
-def test_frames_are_read_whole_however_the_bytes_come(links, link):
-    for byte in framed(b"one", b"", b"three"):
+def test_frames_are_reassembled_from_single_bytes(links, link):
+    for byte in encoded(b"one", b"", b"three"):
         links.data_received(link, bytes([byte]))
-    assert links.read == [b"one", b"", b"three"]
+    assert links.received == [b"one", b"", b"three"]
 
 
-def test_a_frame_whose_handler_raised_is_not_read_again(links, link):
+def test_a_frame_whose_handler_raised_is_not_processed_again(links, link):
     links.raises = True
     with pytest.raises(RuntimeError):
-        links.data_received(link, framed(b"one", b"two"))
-    links.data_received(link, framed(b"three"))
-    assert links.read == [b"one", b"two", b"three"]
+        links.data_received(link, encoded(b"one", b"two"))
+    links.data_received(link, encoded(b"three"))
+    assert links.received == [b"one", b"two", b"three"]
--- a/tests/net/test_target_client.py
+++ b/tests/net/test_target_client.py
@@ -1,4 +1,4 @@
-"""The pool of connections to a server, against a listening socket of the test."""
+"""The connection pool of the target client."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class Clock:
-    """A clock that the test sets."""
+    """A clock controlled by the test."""
 
     def __init__(self) -> None:
-        self.at = 100.0
+        self.time = 100.0
 
     def now(self) -> float:
-        return self.at
+        return self.time
 
 
-class Bench:
-    """A client with a server whose connections the test holds."""
+class ClientAndServer:
+    """A client and a server whose connections the test controls."""
 
     def __init__(self) -> None:
         self.listening = socket.create_server(("127.0.0.1", 0))
         self.listening.settimeout(5)
         self.poller = poller.Poller()
-        self.heard: list[target_client.Event] = []
+        self.received: list[target_client.Event] = []
         host, port = self.listening.getsockname()
         self.client = target_client.TargetClient(
-            poller=self.poller, address=f"{host}:{port}", listener=self.heard.append
+            poller=self.poller, address=f"{host}:{port}", listener=self.received.append
         )
         self.tickets = 0
 
@@ -56,63 +56,63 @@
         return conn
 
     def answer(self, conn: socket.socket) -> None:
-        before = len(self.heard)
+        before = len(self.received)
         assert conn.recv(4096).startswith(b"GET /a")
         conn.sendall(ANSWER)
-        while len(self.heard) == before:
+        while len(self.received) == before:
             self.step()
 
     def step(self) -> None:
         for fileno, mask in self.poller._poller.poll(1.0):
             self.poller._process(fileno, mask)
 
-    def forget(self, conn: socket.socket) -> None:
+    def reset(self, conn: socket.socket) -> None:
         conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         conn.close()
 
 
 @pytest.fixture
 def clock(monkeypatch):
-    made = Clock()
-    monkeypatch.setattr(target_client, "clock", made)
-    return made
+    instance = Clock()
+    monkeypatch.setattr(target_client, "clock", instance)
+    return instance
 
 
 @pytest.fixture
-def bench(clock):
-    made = Bench()
-    yield made
-    made.listening.close()
-
-
-def test_a_rested_connection_is_used_again(bench, clock):
-    bench.request()
-    conn = bench.accept()
-    bench.answer(conn)
-    clock.at += 1.0
-    bench.request()
-    bench.answer(conn)
-    assert bench.client.opened == 1
-
-
-def test_what_a_server_forgot_shortens_the_rest_of_all_connections(bench, clock):
-    bench.request()
-    first = bench.accept()
-    bench.request()
-    second = bench.accept()
-    bench.answer(first)
-    bench.answer(second)
-    clock.at += 0.5
-    bench.forget(second)
-    bench.request()
-    lost = bench.heard[-1]
+def pair(clock):
+    instance = ClientAndServer()
+    yield instance
+    instance.listening.close()
+
+
+def test_an_idle_connection_is_reused(pair, clock):
+    pair.request()
+    conn = pair.accept()
+    pair.answer(conn)
+    clock.time += 1.0
+    pair.request()
+    pair.answer(conn)
+    assert pair.client.opened == 1
+
+
+def test_a_reset_idle_connection_shortens_the_idle_timeout_of_all(pair, clock):
+    pair.request()
+    first = pair.accept()
+    pair.request()
+    second = pair.accept()
+    pair.answer(first)
+    pair.answer(second)
+    clock.time += 0.5
+    pair.reset(second)
+    pair.request()
+    lost = pair.received[-1]
     assert isinstance(lost, request_client.RequestFailed)
     assert lost.sent
-    bench.request()
-    third = bench.accept()
-    bench.answer(third)
-    assert bench.client.opened == 3
-    clock.at += 0.2
-    bench.request()
-    bench.answer(third)
-    assert bench.client.opened == 3
+    pair.request()
+    third = pair.accept()
+    pair.answer(third)
+    assert pair.client.opened == 3
+    clock.time += 0.2
+    pair.request()
+    pair.answer(third)
+    assert pair.client.opened == 3
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""The platform's names, formats and calls, read and made by the adapter."""
+"""Parsing and serialization of the platform's formats by the adapter."""
 
 from __future__ import annotations
 
@@ -76,22 +76,22 @@
     return json.dumps(table | changes).encode()
 
 
-def test_a_manifest_is_read():
-    made = manifest.read(manifest_of(), "store")
-    assert made.version == 7
-    first = made.find("H.example:80", "/a/x?y=/b/")
+def test_a_manifest_is_parsed():
+    parsed = manifest.read(manifest_of(), "store")
+    assert parsed.version == 7
+    first = parsed.find("H.example:80", "/a/x?y=/b/")
     assert first.parts == (
         policy.SplitPart(service="book", weight=90),
         policy.SplitPart(service="desk", weight=10),
     )
     assert (first.timeout_s, first.objective_s, first.max_attempts) == (5.0, 1.2, 2)
-    longer = made.find("h.example", "/a/b/c")
+    longer = parsed.find("h.example", "/a/b/c")
     assert longer.kind is policy.RouteKind.ONCE
-    assert made.find("h.example", "/c/") is None
-    assert made.find("other.example", "/a/") is None
-    assert made.services["book"].health_path == "/well"
-    assert made.caller_limits.body_bytes == 1000
-    assert made.caller_limits.idle_s == 15.0
+    assert parsed.find("h.example", "/c/") is None
+    assert parsed.find("other.example", "/a/") is None
+    assert parsed.services["book"].health_path == "/well"
+    assert parsed.caller_limits.body_bytes == 1000
+    assert parsed.caller_limits.idle_s == 15.0
 
 
 @pytest.mark.parametrize(
@@ -105,39 +105,39 @@
         ({"limits": {"idle_timeout": "15"}}, "limits"),
     ],
 )
-def test_a_manifest_that_can_not_be_used_is_rejected_with_its_place(changes, word):
-    made = manifest.read(manifest_of(**changes), "store")
-    assert isinstance(made, findings.Rejected)
-    assert word in str(made)
+def test_an_invalid_manifest_is_rejected_with_the_key(changes, word):
+    parsed = manifest.read(manifest_of(**changes), "store")
+    assert isinstance(parsed, findings.Rejected)
+    assert word in str(parsed)
 
 
-def test_a_manifest_that_is_cut_short_is_rejected():
+def test_a_truncated_manifest_is_rejected():
     assert isinstance(manifest.read(manifest_of()[:-9], "store"), findings.Rejected)
 
 
-def test_the_era_of_an_answer_is_read():
+def test_the_era_of_an_answer_is_parsed():
     assert kv.read_era([("store-era", "12"), ("content-length", "2")]) == 12
     assert kv.read_era([("content-length", "2")]) == 0
 
 
 @pytest.mark.parametrize("stated", ["", "-1", "1.5", "new", "\u0663", "9" * 40])
-def test_an_era_that_is_no_number_is_rejected(stated):
+def test_an_invalid_era_is_rejected(stated):
     with pytest.raises(ValueError, match="invalid era"):
         kv.read_era([("store-era", stated)])
 
 
 @pytest.mark.parametrize(("text", "value"), [("1500ms", 1.5), ("2.5s", 2.5)])
-def test_times_carry_their_unit(text, value):
+def test_durations_are_parsed(text, value):
     assert units.parse_duration(text) == value
 
 
 @pytest.mark.parametrize("text", ["15", "", "ms", "1.2.3s", "-5s", None, 5])
-def test_other_times_are_refused(text):
+def test_invalid_durations_are_rejected(text):
     with pytest.raises(ValueError):
         units.parse_duration(text)
 
 
-def test_fields_of_a_request_are_read_and_those_of_one_hop_dropped():
+def test_request_fields_are_parsed_and_hop_by_hop_fields_removed():
     facts = headers.read_request(
         [
             ("host", "h.example"),
@@ -155,11 +155,11 @@
 
 
 @pytest.mark.parametrize("stated", ["abc", "-5", "1.5", "9" * 20])
-def test_a_deadline_that_is_no_number_is_a_fault(stated):
+def test_an_invalid_deadline_is_reported(stated):
     assert headers.read_request([("x-deadline-ms", stated)]).invalid_deadline
 
 
-def test_a_server_is_told_id_time_lifetime_and_calling_service():
+def test_a_target_receives_request_id_deadline_target_id_and_caller():
     dispatch = effects.Dispatch(
         dispatch=1,
         method="GET",
@@ -171,8 +171,8 @@
         caller="desk",
         left_s=0.25,
     )
-    told = dict(headers.target_fields(dispatch))
-    assert told == {
+    fields = dict(headers.target_fields(dispatch))
+    assert fields == {
         "host": "h",
         "x-attempt-id": "abc",
         "x-deadline-ms": "250",
@@ -181,19 +181,19 @@
     }
 
 
-def test_only_the_servers_word_says_that_it_did_not_run():
+def test_only_the_target_can_state_that_a_request_did_not_run():
     assert headers.read_answer(503, [("x-not-executed", "1")]).not_run
     assert headers.read_answer(421, []).not_run
     assert not headers.read_answer(503, []).not_run
     assert not headers.read_answer(500, [("x-response-seal", "s")]).not_run
 
 
-def test_an_answer_of_another_request_is_known():
+def test_an_answer_to_another_request_is_detected():
     assert headers.matches_request("abc", [("x-attempt-id", "abc")])
     assert not headers.matches_request("abc", [("x-attempt-id", "abd")])
 
 
-def test_reports_are_read():
+def test_heartbeats_are_parsed():
     body = b'{"service":"desk","address":"10.0.0.1:80","slots":8,"state":"draining",'
     body += b'"cold_remaining":"1500ms","sequence":4,"zone":"a","version":"v1"}'
     beat = heartbeats.read(1, "PUT", "/api/instances/i-1", body)
@@ -213,22 +213,22 @@
         ("PUT", "/api/instances/i-1", b'{"cold_remaining":"5"}'),
     ],
 )
-def test_what_is_no_report_is_refused(method, path, body):
+def test_invalid_heartbeats_are_rejected(method, path, body):
     assert heartbeats.read(1, method, path, body) is None
 
 
-def test_terms_are_read_and_others_passed_over():
+def test_limits_are_parsed_and_unknown_settings_ignored():
     report = findings.Report(file="x")
-    made = limits.read(
+    parsed = limits.read(
         {"grace": "6s", "retry_budget_ratio": "0.2", "budget_slack": "49", "x": "y"},
         "1500ms",
         report,
     )
     assert report.clean
-    assert made == context.Limits(retry_slack=49.0)
+    assert parsed == context.Limits(retry_slack=49.0)
 
 
-def test_terms_that_can_not_be_read_are_findings():
+def test_invalid_limits_are_reported():
     report = findings.Report(file="x")
     limits.read({"grace": "six", "budget_slack": "many"}, "soon", report)
     assert [one.key for one in report.findings] == [
@@ -238,14 +238,14 @@
     ]
 
 
-def test_answers_of_the_store_that_make_no_sense_are_no_answers():
+def test_invalid_answers_of_the_store_become_no_answer():
     for body in (b"", b"{", b"[]", b'{"events":[{}]}'):
         request = store.WatchPolicy(after=1, wait_s=1)
         assert isinstance(kv.from_http(request, 200, [body]), store.NoAnswer)
     assert isinstance(kv.from_http(store.ReadPolicy(), 503, [b"{}"]), store.NoAnswer)
 
 
-def test_statuses_of_the_store_have_their_meaning():
+def test_statuses_of_the_store_are_converted_to_results():
     watch = store.WatchPolicy(after=1, wait_s=1)
     assert kv.from_http(watch, 410, [b"{}"]) == store.HistoryGone()
     assert kv.from_http(store.KeepLease(lease=1), 404, [b"{}"]) == store.LeaseOver()
@@ -254,14 +254,14 @@
     )
 
 
-def test_the_pins_of_the_build_are_those_of_the_project():
+def test_requirements_match_the_project_dependencies():
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
     lines = (ROOT / "requirements.txt").read_text().splitlines()
     pins = [line for line in lines if line and not line.startswith("#")]
     assert pins == project["dependencies"]
 
 
-def test_the_platforms_names_stand_nowhere_else():
+def test_the_platforms_names_are_only_used_by_the_adapter():
     names = "x-attempt-id|x-not-executed|x-response-seal|x-expect-instance"
     names += "|x-caller-service|kv-txn|kv-watch|tls_key|op/config|/api/instances"
     names += "|x-api-key|x-tenant|api_keys|expected_rev"
@@ -283,7 +283,7 @@
     assert found == []
 
 
-def test_the_adapter_is_under_a_tenth_of_the_product():
+def test_the_adapter_is_less_than_a_tenth_of_the_code():
     def lines(folder: str) -> int:
         files = (ROOT / folder).rglob("*.py")
         return sum(len(path.read_text().splitlines()) for path in files)
--- a/tests/platform/test_odd_words.py
+++ b/tests/platform/test_odd_words.py
@@ -1,4 +1,4 @@
-"""Reports and records of other writers: they name no server, and the others hold."""
+"""Invalid heartbeats and records are ignored and don't affect valid ones."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from tests.mesh import samples
 
 PATH = "/api/instances/i-7f3a91c2"
-INPUTS = 2500
-"""Inputs for each of the four decoders; they take 12 s together."""
-FIXED = hypothesis.settings(max_examples=INPUTS, derandomize=True, deadline=None)
+EXAMPLES = 2500
+"""Number of generated inputs per property."""
+SETTINGS = hypothesis.settings(max_examples=EXAMPLES, derandomize=True, deadline=None)
 SCALARS = (
     strategies.none()
     | strategies.booleans()
@@ -34,7 +34,7 @@
 )
 
 
-def report_of(**changes: object) -> dict[str, object]:
+def heartbeat_of(**changes: object) -> dict[str, object]:
     values = {
         "service": "desk",
         "address": "10.0.0.1:80",
@@ -72,30 +72,30 @@
 GOOD = item(json.dumps(record_of()).encode())
 
 
-@pytest.mark.parametrize("name", sorted(report_of()))
-def test_a_report_that_lacks_a_field_or_has_another_type_is_not_read(name):
-    whole = report_of()
+@pytest.mark.parametrize("name", sorted(heartbeat_of()))
+def test_a_heartbeat_with_a_missing_or_mistyped_field_is_rejected(name):
+    valid = heartbeat_of()
     if name != "born":
-        less = {key: value for key, value in whole.items() if key != name}
-        assert heartbeats.read(1, "PUT", PATH, json.dumps(less).encode()) is None
-    for odd in (None, [], {}, 1.5, True):
-        body = json.dumps(whole | {name: odd}).encode()
+        partial = {key: value for key, value in valid.items() if key != name}
+        assert heartbeats.read(1, "PUT", PATH, json.dumps(partial).encode()) is None
+    for invalid in (None, [], {}, 1.5, True):
+        body = json.dumps(valid | {name: invalid}).encode()
         assert heartbeats.read(1, "PUT", PATH, body) is None
 
 
-def test_a_report_in_an_unknown_state_is_not_read():
-    body = json.dumps(report_of(state="resting")).encode()
+def test_a_heartbeat_with_an_unknown_state_is_rejected():
+    body = json.dumps(heartbeat_of(state="resting")).encode()
     assert heartbeats.read(1, "PUT", PATH, body) is None
 
 
-def test_a_report_of_another_service_names_no_server_here():
+def test_a_heartbeat_of_another_service_is_ignored():
     world = samples.world_of(1)
     box = world.boxes["box-0"]
     server = box.core.inbound.target
     before = (server.phase, server.incarnation)
     values = {"slots": 8, "sequence": 1, "terminating": False, "warmup_s": 0.0}
     for ready in (True, False):
-        odd = events.Heartbeat(
+        invalid = events.Heartbeat(
             conn=0,
             target_id="i-odd",
             service="nowhere",
@@ -103,39 +103,39 @@
             ready=ready,
             **values,
         )
-        world.feed(box, odd)
+        world.feed(box, invalid)
     assert (server.phase, server.incarnation) == before
 
 
 @hypothesis.given(body=strategies.binary(max_size=200))
-@FIXED
-def test_bytes_that_are_no_report_raise_nothing(body):
+@SETTINGS
+def test_arbitrary_bytes_as_heartbeat_do_not_raise(body):
     heartbeats.read(1, "PUT", PATH, body)
     heartbeats.read(1, "DELETE", PATH, body)
 
 
-@hypothesis.given(name=strategies.sampled_from(sorted(report_of())), value=VALUES)
-@FIXED
-def test_a_report_with_any_value_in_a_field_raises_nothing(name, value):
-    body = json.dumps(report_of(**{name: value})).encode()
-    beat = heartbeats.read(1, "PUT", PATH, body)
-    assert beat is None or isinstance(beat.started_ms, int)
+@hypothesis.given(name=strategies.sampled_from(sorted(heartbeat_of())), value=VALUES)
+@SETTINGS
+def test_arbitrary_values_in_a_heartbeat_do_not_raise(name, value):
+    body = json.dumps(heartbeat_of(**{name: value})).encode()
+    result = heartbeats.read(1, "PUT", PATH, body)
+    assert result is None or isinstance(result.started_ms, int)
 
 
 @hypothesis.given(raw=strategies.binary(max_size=100))
-@FIXED
-def test_bytes_that_are_no_record_lose_no_good_one(raw):
+@SETTINGS
+def test_arbitrary_bytes_as_record_do_not_affect_valid_records(raw):
     found = read_records([item(raw), GOOD])
     assert [one.box for one in found.records][-1:] == ["box-9"]
 
 
 @hypothesis.given(
-    name=strategies.sampled_from(sorted(record_of())), value=VALUES, whole=VALUES
+    name=strategies.sampled_from(sorted(record_of())), value=VALUES, other=VALUES
 )
-@FIXED
-def test_a_record_with_any_value_in_a_field_loses_no_good_one(name, value, whole):
-    odd = item(json.dumps(record_of(**{name: value})).encode())
-    found = read_records([odd, whole, GOOD])
+@SETTINGS
+def test_arbitrary_values_in_a_record_do_not_affect_valid_records(name, value, other):
+    invalid = item(json.dumps(record_of(**{name: value})).encode())
+    found = read_records([invalid, other, GOOD])
     assert [one.box for one in found.records][-1:] == ["box-9"]
     assert len(found.records) + found.odd == 3
 
@@ -143,13 +143,13 @@
 @pytest.mark.parametrize(
     "address", ["", "10.0.0.9", "10.0.0.9:0", "10.0.0.9:70000", "host:80", "::", ":80"]
 )
-def test_a_record_with_an_address_that_is_none_is_passed_over(address):
-    odd = item(json.dumps(record_of(address=address)).encode())
-    found = read_records([odd, GOOD])
+def test_a_record_with_an_invalid_address_is_ignored(address):
+    invalid = item(json.dumps(record_of(address=address)).encode())
+    found = read_records([invalid, GOOD])
     assert (len(found.records), found.odd) == (1, 1)
 
 
-def test_odd_records_get_one_line_and_the_others_hold():
+def test_invalid_records_are_logged_once_and_valid_ones_kept():
     world = samples.world_of(3)
     box = world.boxes["box-0"]
     known = len(box.core.peers.by_address)
--- a/tests/unit/test_clock.py
+++ b/tests/unit/test_clock.py
@@ -1,4 +1,4 @@
-"""One clock for the whole product: one that goes on while a box is suspended."""
+"""The clock, which includes time while a box is suspended."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     assert readers == []
 
 
-def test_it_is_the_clock_that_counts_suspended_time(monkeypatch: pytest.MonkeyPatch):
-    asked = []
-    monkeypatch.setattr(time, "clock_gettime", lambda one: asked.append(one) or 7.0)
+def test_the_clock_includes_suspended_time(monkeypatch: pytest.MonkeyPatch):
+    ids = []
+    monkeypatch.setattr(time, "clock_gettime", lambda one: ids.append(one) or 7.0)
     assert clock.now() == 7.0
-    assert asked == [time.CLOCK_BOOTTIME]
+    assert ids == [time.CLOCK_BOOTTIME]
--- a/tests/unit/test_codec.py
+++ b/tests/unit/test_codec.py
@@ -41,7 +41,7 @@
     return msgspec.msgpack.encode(table | changes)
 
 
-def test_a_message_comes_back_as_it_was():
+def test_a_message_round_trips():
     received = codec.decode(encoded(), cluster="test")
     assert received.message == FORWARD
     assert received.envelope.box == "box-1"
@@ -60,11 +60,11 @@
         (encoded(cluster="other"), "cluster"),
     ],
 )
-def test_what_is_no_message_of_ours_is_told_by_its_fault(data, fault):
+def test_invalid_messages_are_reported_with_their_fault(data, fault):
     assert codec.decode(data, cluster="test").fault == fault
 
 
 @hypothesis.given(st.binary(max_size=200))
 @hypothesis.settings(derandomize=True, deadline=None)
-def test_no_bytes_make_the_codec_raise(data):
+def test_arbitrary_bytes_do_not_raise(data):
     assert isinstance(codec.decode(data, cluster="test"), codec.Undecodable)
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -38,14 +38,14 @@
     return [finding.key for finding in rejected.findings]
 
 
-def test_good_settings_are_read(tmp_path):
+def test_valid_settings_are_loaded(tmp_path):
     cfg = load(tmp_path, GOOD)
     assert cfg.box == "box-1"
     assert cfg.entry is None
     assert cfg.signers[0].name == "akosua"
 
 
-def test_all_findings_are_told_together_with_key_and_reason(tmp_path):
+def test_all_findings_are_reported_with_key_and_reason(tmp_path):
     text = GOOD.replace("port = 9100", "port = 9000").replace("7000", "x")
     text = text.replace('box = "box-1"', 'bix = "box-1"')
     rejected = load(tmp_path, text)
@@ -54,18 +54,18 @@
     assert str(tmp_path) in str(rejected)
 
 
-def test_keys_that_clash_are_found(tmp_path):
+def test_inconsistent_keys_are_reported(tmp_path):
     text = GOOD.replace("port = 9100", "port = 9000")
     text = text.replace('ip = "127', 'signatures_needed = 2\nip = "127')
     assert keys_of(load(tmp_path, text)) == ["admin.port", "signatures_needed"]
 
 
 @pytest.mark.parametrize("text", ["box = ", "\xff", 'box = "a"\nbox = "b"'])
-def test_a_file_that_is_no_toml_is_a_finding(tmp_path, text):
+def test_invalid_toml_is_reported(tmp_path, text):
     assert keys_of(load(tmp_path, text)) == ["(file)"]
 
 
-def test_the_daemon_checks_and_starts_nothing(tmp_path, capsys):
+def test_check_validates_without_starting(tmp_path, capsys):
     path = tmp_path / "box.toml"
     path.write_text(GOOD.replace("ip =", "ipp ="))
     assert daemon.main(["--settings", str(path), "--check"]) == 2
@@ -80,7 +80,7 @@
     return bundles.load(str(path))
 
 
-def test_a_bundle_is_checked_as_a_whole(tmp_path):
+def test_inconsistent_bundle_entries_are_reported(tmp_path):
     text = sample.bundle_toml()
     text = text.replace('class_name = "publish"', 'class_name = "nothing"')
     text = text.replace('name = "catalogue"', 'name = "membership"')
@@ -91,13 +91,13 @@
     assert "unknown class 'nothing'" in reasons[2]
 
 
-def test_a_get_that_may_not_repeat_is_refused(tmp_path):
+def test_a_get_route_must_be_repeatable(tmp_path):
     text = worlds.LEDGER.replace('method = "POST"', 'method = "GET"')
     [finding] = load_bundle(tmp_path, text).findings
     assert finding.key == "routes[0].repeatable"
 
 
-def test_the_canonical_form_is_read_back_to_the_same_bundle():
+def test_the_canonical_form_round_trips():
     bundle = worlds.bundle_of(sample.bundle_toml())
     signed = signing.SignedBundle(body=bundles.canonical_body(bundle).decode())
     verified = signing.verify(signing.encode(signed), signers=(), needed=0, name="test")
@@ -105,14 +105,14 @@
     assert verified.digest == bundles.digest_of(bundles.canonical_body(bundle))
 
 
-def test_a_body_that_is_not_canonical_is_refused():
+def test_a_body_that_is_not_canonical_is_rejected():
     body = bundles.canonical_body(worlds.bundle_of(worlds.LEDGER)).decode()
     signed = signing.SignedBundle(body=body.replace(":", ": "))
     rejected = signing.verify(signing.encode(signed), signers=(), needed=0, name="test")
     assert keys_of(rejected) == ["body"]
 
 
-def test_the_quarantine_covers_the_window_the_deadline_and_the_lease():
+def test_the_quarantine_includes_window_deadline_and_lease():
     bundle = worlds.bundle_of(worlds.LEDGER)
     assert bundle.quarantine_s == 3 + 1 + 2
     longer = attrs.evolve(bundle, once=attrs.evolve(bundle.once, lease_s=10))
