--- a/ferrydeck/config/options.py
+++ b/ferrydeck/config/options.py
@@ -46,17 +46,17 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Number:
-    """A number in an inclusive range; `whole` requires an integer."""
+    """A number in an inclusive range; `integer` rejects fractions."""
 
     low: float
     high: float
-    whole: bool = False
+    integer: bool = False
 
     def check(self, value: Any, place: str, report: findings.Report) -> Any:
         """Return `value`, or report why it is invalid."""
-        kinds = int if self.whole else (int, float)
+        kinds = int if self.integer else (int, float)
         if isinstance(value, bool) or not isinstance(value, kinds):
-            expected = "an integer" if self.whole else "a number"
+            expected = "an integer" if self.integer else "a number"
             report.add(place, f"expected {expected}, got {type_name(value)}")
             return self.low
         if not self.low <= value <= self.high:
@@ -64,7 +64,7 @@
         return value
 
 
-PORT = Number(low=1, high=65535, whole=True)
+PORT = Number(low=1, high=65535, integer=True)
 """A TCP port to listen on."""
 
 
--- a/ferrydeck/mesh/settings.py
+++ b/ferrydeck/mesh/settings.py
@@ -25,11 +25,11 @@
     """Rate limits of the decision log."""
 
     failed_per_s: int = options.option(
-        options.Number(low=0, high=100000, whole=True), default=50
+        options.Number(low=0, high=100000, integer=True), default=50
     )
     """Lines per second for each kind and outcome other than a success."""
     served_per_s: int = options.option(
-        options.Number(low=0, high=100000, whole=True), default=5
+        options.Number(low=0, high=100000, integer=True), default=5
     )
     """Lines per second for answered requests."""
 
--- a/ferrydeck/net/http.py
+++ b/ferrydeck/net/http.py
@@ -77,17 +77,17 @@
     try:
         line, fields = parse_head(head)
         method, path, version = parse_request_line(line)
-        named = fields_by_name(fields)
+        values = fields_by_name(fields)
     except MalformedHead as exc:
         return Malformed(status=400, detail=str(exc))
-    coding = named.get("transfer-encoding")
-    if coding is not None and not allow_chunked:
+    encoding = values.get("transfer-encoding")
+    if encoding is not None and not allow_chunked:
         return Malformed(status=411, detail="Content-Length required")
-    length = parse_length(named.get("content-length"))
+    length = parse_length(values.get("content-length"))
     if length is None:
         return Malformed(status=400, detail="invalid Content-Length")
-    if coding is not None:
-        if coding.lower() != "chunked" or "content-length" in named:
+    if encoding is not None:
+        if encoding.lower() != "chunked" or "content-length" in values:
             return Malformed(status=400, detail="invalid Transfer-Encoding")
         length = CHUNKED
     if length > max_body_bytes:
@@ -99,8 +99,8 @@
         path=path,
         fields=fields,
         length=length,
-        keep_alive=is_keep_alive(named, version),
-        expects_continue=named.get("expect", "").lower() == "100-continue",
+        keep_alive=is_keep_alive(values, version),
+        expects_continue=values.get("expect", "").lower() == "100-continue",
     )
 
 
@@ -114,26 +114,26 @@
     try:
         line, fields = parse_head(head)
         status, version = parse_status_line(line)
-        named = fields_by_name(fields)
+        values = fields_by_name(fields)
     except MalformedHead as exc:
         return Malformed(status=502, detail=str(exc))
-    coding = named.get("transfer-encoding")
-    stated = named.get("content-length")
-    length = 0 if status in NO_BODY_STATUSES else parse_length(stated)
-    if coding is not None:
-        if coding.lower() != "chunked" or stated is not None:
+    encoding = values.get("transfer-encoding")
+    content_length = values.get("content-length")
+    length = 0 if status in NO_BODY_STATUSES else parse_length(content_length)
+    if encoding is not None:
+        if encoding.lower() != "chunked" or content_length is not None:
             return Malformed(status=502, detail="invalid Transfer-Encoding")
         length = CHUNKED
-    unstated = stated is coding is None and status not in NO_BODY_STATUSES
-    if unstated and until_close:
+    no_length = content_length is encoding is None and status not in NO_BODY_STATUSES
+    if no_length and until_close:
         length = UNTIL_CLOSE
-    elif length is None or unstated:
+    elif length is None or no_length:
         return Malformed(status=502, detail="response has no valid Content-Length")
     return ResponseHead(
         status=status,
         fields=fields,
         length=length,
-        keep_alive=is_keep_alive(named, version),
+        keep_alive=is_keep_alive(values, version),
     )
 
 
@@ -182,20 +182,20 @@
 
 def fields_by_name(fields: Fields) -> dict[str, str]:
     """Return the fields by name; raises `MalformedHead` for a repeated one."""
-    named = dict(fields)
-    if len(named) != len(fields):
+    values = dict(fields)
+    if len(values) != len(fields):
         for name in UNIQUE_FIELDS:
             if sum(field == name for field, _ in fields) > 1:
                 raise MalformedHead(f"duplicate header field {name}")
-    return named
+    return values
 
 
-def is_keep_alive(named: dict[str, str], version: str) -> bool:
+def is_keep_alive(values: dict[str, str], version: str) -> bool:
     """Return whether the connection is persistent."""
-    listed = named.get("connection", "").lower()
-    if "close" in listed:
+    options = values.get("connection", "").lower()
+    if "close" in options:
         return False
-    return version == VERSIONS[1] or "keep-alive" in listed
+    return version == VERSIONS[1] or "keep-alive" in options
 
 
 def read_chunked(data: bytes) -> bytes | None:
@@ -216,13 +216,13 @@
         position = start + size + 2
 
 
-def parse_length(stated: str | None) -> int | None:
+def parse_length(value: str | None) -> int | None:
     """Parse a Content-Length value: 0 if absent, `None` if invalid."""
-    if stated is None:
+    if value is None:
         return 0
-    if not (stated.isascii() and stated.isdigit() and len(stated) < 16):
+    if not (value.isascii() and value.isdigit() and len(value) < 16):
         return None
-    return int(stated)
+    return int(value)
 
 
 def response_head(status: int, fields: Fields, length: int, *, close: bool) -> bytes:
--- a/ferrydeck/platform/headers.py
+++ b/ferrydeck/platform/headers.py
@@ -78,16 +78,16 @@
 
     Without `teams` the API key is an ordinary field, which is forwarded.
     """
-    named = dict(fields)
-    stated = named.get(DEADLINE, "").strip()
-    valid = stated.isascii() and stated.isdigit() and len(stated) < 12
+    values = dict(fields)
+    text = values.get(DEADLINE, "").strip()
+    valid = text.isascii() and text.isdigit() and len(text) < 12
     return ParsedRequest(
-        request_id=named.get(REQUEST_ID, "").strip(),
-        host=named.get(HOST, ""),
-        deadline_s=int(stated) / 1000 if valid else None,
-        invalid_deadline=bool(stated) and not valid,
-        fields=_forwarded(fields, named, REPLACED_WITH_TEAMS if teams else REPLACED),
-        key=named.get(KEY, "") if teams else "",
+        request_id=values.get(REQUEST_ID, "").strip(),
+        host=values.get(HOST, ""),
+        deadline_s=int(text) / 1000 if valid else None,
+        invalid_deadline=bool(text) and not valid,
+        fields=_forwarded(fields, values, REPLACED_WITH_TEAMS if teams else REPLACED),
+        key=values.get(KEY, "") if teams else "",
         multiple_keys=teams and sum(name == KEY for name, _ in fields) > 1,
     )
 
@@ -120,12 +120,12 @@
 
 def read_answer(status: int, fields: messages.Fields) -> events.AnswerFacts:
     """Parse the status and the fields of a target's answer."""
-    named = dict(fields)
+    values = dict(fields)
     return events.AnswerFacts(
-        not_run=NOT_RUN in named or status == MISDIRECTED,
-        confirmed_complete=SEAL in named,
-        target_id=named.get(INSTANCE, ""),
-        load=_parse_load(named.get(LOAD, "")),
+        not_run=NOT_RUN in values or status == MISDIRECTED,
+        confirmed_complete=SEAL in values,
+        target_id=values.get(INSTANCE, ""),
+        load=_parse_load(values.get(LOAD, "")),
     )
 
 
@@ -143,9 +143,9 @@
 
 
 def _forwarded(
-    fields: messages.Fields, named: dict[str, str], replaced: frozenset[str]
+    fields: messages.Fields, values: dict[str, str], replaced: frozenset[str]
 ) -> messages.Fields:
-    per_hop = {one.strip().lower() for one in named.get("connection", "").split(",")}
+    per_hop = {one.strip().lower() for one in values.get("connection", "").split(",")}
     excluded = HOP_BY_HOP | replaced | per_hop
     return [(name, value) for name, value in fields if name not in excluded]
 
--- a/ferrydeck/platform/kv.py
+++ b/ferrydeck/platform/kv.py
@@ -88,12 +88,12 @@
 
 def read_era(fields: http.Fields) -> int:
     """Return the era in the fields of an answer, 0 if absent; raises `ValueError`."""
-    stated = dict(fields).get(ERA_HEADER)
-    if stated is None:
+    value = dict(fields).get(ERA_HEADER)
+    if value is None:
         return 0
-    if not ERA_PATTERN.fullmatch(stated):
-        raise ValueError(f"invalid era {stated!r}")
-    return int(stated)
+    if not ERA_PATTERN.fullmatch(value):
+        raise ValueError(f"invalid era {value!r}")
+    return int(value)
 
 
 def from_http(request: store.Request, status: int, bodies: list[bytes]) -> store.Result:
@@ -156,11 +156,11 @@
 
 
 def _parse_policy(item: dict[str, Any], at: int) -> store.PolicyFound:
-    made = manifest.read(base64.b64decode(item["value"]), POLICY_KEY)
-    if isinstance(made, findings.Rejected):
-        return store.PolicyFound(policy=None, at=at, fault=str(made))
-    made.revision = item["revision"]
-    return store.PolicyFound(policy=made, at=at)
+    policy = manifest.read(base64.b64decode(item["value"]), POLICY_KEY)
+    if isinstance(policy, findings.Rejected):
+        return store.PolicyFound(policy=None, at=at, fault=str(policy))
+    policy.revision = item["revision"]
+    return store.PolicyFound(policy=policy, at=at)
 
 
 def _parse_record(item: Any) -> store.BoxRecord | None:
--- a/ferrydeck/platform/manifest.py
+++ b/ferrydeck/platform/manifest.py
@@ -131,8 +131,8 @@
 
 def _row_values(columns: list[str], row: list[Any]) -> dict[str, Any]:
     """Return the values of a row by column, without null values."""
-    named = zip(columns, row, strict=True)
-    return {name: value for name, value in named if value is not None}
+    pairs = zip(columns, row, strict=True)
+    return {name: value for name, value in pairs if value is not None}
 
 
 def _route(row: dict[str, Any]) -> policy.Route:
--- a/ferrydeck/replay/case.py
+++ b/ferrydeck/replay/case.py
@@ -18,8 +18,8 @@
     """Some boxes of one service, spread over the data centres in turn."""
 
     service: str = options.option(NAME)
-    count: int = options.option(options.Number(low=1, high=100, whole=True))
-    slots: int = options.option(options.Number(low=1, high=10_000, whole=True))
+    count: int = options.option(options.Number(low=1, high=100, integer=True))
+    slots: int = options.option(options.Number(low=1, high=10_000, integer=True))
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -53,7 +53,7 @@
         options.Items(item=options.Section(cls=Fault)), default=()
     )
     resends: int = options.option(
-        options.Number(low=0, high=100, whole=True), default=0
+        options.Number(low=0, high=100, integer=True), default=0
     )
     """How often a caller sends a failed request again, at once."""
 
--- a/ferrydeck/signed/bundle.py
+++ b/ferrydeck/signed/bundle.py
@@ -22,7 +22,7 @@
     """Limits of retries."""
 
     allowance: int = options.option(
-        options.Number(low=0, high=32, whole=True), default=3
+        options.Number(low=0, high=32, integer=True), default=3
     )
     """Maximum retries of a request across its call chain."""
     budget: float = options.option(options.Number(low=0, high=1), default=0.1)
@@ -40,7 +40,7 @@
     lease_s: float = options.option(options.Number(low=1, high=3600), default=10.0)
     """Time to live of the lease on owned shards, seconds."""
     max_keys: int = options.option(
-        options.Number(low=1, high=10_000_000, whole=True), default=200_000
+        options.Number(low=1, high=10_000_000, integer=True), default=200_000
     )
     """Maximum number of keys stored by a daemon."""
 
@@ -50,7 +50,7 @@
     """A class of requests; the class with the lowest rank is shed last."""
 
     name: str = options.option(NAME)
-    rank: int = options.option(options.Number(low=0, high=7, whole=True))
+    rank: int = options.option(options.Number(low=0, high=7, integer=True))
 
 
 @attrs.define(kw_only=True, frozen=True)
@@ -58,8 +58,8 @@
     """Capacity of a target of a service."""
 
     name: str = options.option(NAME)
-    slots: int = options.option(options.Number(low=1, high=100_000, whole=True))
-    connections: int = options.option(options.Number(low=1, high=100_000, whole=True))
+    slots: int = options.option(options.Number(low=1, high=100_000, integer=True))
+    connections: int = options.option(options.Number(low=1, high=100_000, integer=True))
     cold_start_s: float = options.option(options.Number(low=0, high=600), default=0.0)
     """Slow-start time of a new target, seconds."""
 
@@ -74,11 +74,11 @@
     class_name: str = options.option(NAME)
     repeatable: bool = options.option(options.Flag())
     deadline_ms: int = options.option(
-        options.Number(low=10, high=3_600_000, whole=True), default=2000
+        options.Number(low=10, high=3_600_000, integer=True), default=2000
     )
     """Default and maximum deadline of a call, milliseconds."""
     max_body: int = options.option(
-        options.Number(low=0, high=16 * 1024 * 1024, whole=True), default=256 * 1024
+        options.Number(low=0, high=16 * 1024 * 1024, integer=True), default=256 * 1024
     )
 
 
@@ -86,7 +86,7 @@
 class Bundle:
     """One version of the policy."""
 
-    version: int = options.option(options.Number(low=1, high=2**53, whole=True))
+    version: int = options.option(options.Number(low=1, high=2**53, integer=True))
     parent: str = options.option(DIGEST, default="")
     classes: tuple[RequestClass, ...] = options.option(
         options.Items(item=options.Section(cls=RequestClass))
--- a/ferrydeck/signed/settings.py
+++ b/ferrydeck/signed/settings.py
@@ -77,7 +77,7 @@
         options.Items(item=options.Section(cls=Signer))
     )
     signatures_needed: int = options.option(
-        options.Number(low=1, high=16, whole=True), default=1
+        options.Number(low=1, high=16, integer=True), default=1
     )
     entry: Endpoint | None = options.option(options.Section(cls=Endpoint), default=None)
     local: Endpoint | None = options.option(options.Section(cls=Endpoint), default=None)
--- a/ferrydeck/signed/signing.py
+++ b/ferrydeck/signed/signing.py
@@ -69,11 +69,11 @@
 def sign(signed: SignedBundle, *, signer: str, secret: str) -> SignedBundle:
     """Return `signed` with the signature of `signer` added or replaced."""
     key = ed25519.Ed25519PrivateKey.from_private_bytes(bytes.fromhex(secret))
-    made = Signature(
+    signature = Signature(
         signer=signer, signature=key.sign(CONTEXT + signed.body.encode()).hex()
     )
     others = [one for one in signed.signatures if one.signer != signer]
-    return attrs.evolve(signed, signatures=(*others, made))
+    return attrs.evolve(signed, signatures=(*others, signature))
 
 
 def verify(
