--- a/ferrydeck/mesh/net/ingress.py
+++ b/ferrydeck/mesh/net/ingress.py
@@ -285,9 +285,7 @@
             return False
         end += len(http.END_OF_HEAD)
         head = http.read_request(
-            bytes(conn.inbuf[:end]),
-            allow_chunked=True,
-            max_body_bytes=self.limits.body_bytes,
+            bytes(conn.inbuf[:end]), chunked=True, max_body=self.limits.body_bytes
         )
         del conn.inbuf[:end]
         if isinstance(head, http.Malformed):
--- a/ferrydeck/mesh/net/target_client.py
+++ b/ferrydeck/mesh/net/target_client.py
@@ -86,8 +86,8 @@
     """Sends requests to the target and passes their answers to `listener`."""
 
     conn_class = TargetConn
-    keepalive_probes = KEEPALIVE_PROBES
-    unacked_timeout_ms = ACK_TIMEOUT_MS
+    probes = KEEPALIVE_PROBES
+    unacked_ms = ACK_TIMEOUT_MS
     until_close = True
 
     def __init__(
@@ -135,7 +135,7 @@
         if len(data) > MAX_WHOLE_BODY_BYTES:
             # A target that is slow to read a long body must not hit TCP_USER_TIMEOUT.
             conn.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 0)
-        self._send_request(conn, ticket, now + left_s + DEADLINE_GRACE_S, data)
+        self._submit(conn, ticket, now + left_s + DEADLINE_GRACE_S, data)
 
     def expire(self, now: float) -> None:
         """Fail requests past their deadline and close expired idle connections."""
--- a/ferrydeck/net/http.py
+++ b/ferrydeck/net/http.py
@@ -68,11 +68,11 @@
 
 
 def read_request(
-    head: bytes, *, allow_chunked: bool = False, max_body_bytes: int = MAX_BODY_BYTES
+    head: bytes, *, chunked: bool = False, max_body: int = MAX_BODY_BYTES
 ) -> RequestHead | Malformed:
     """Parse the head of a request, including the final empty line.
 
-    `allow_chunked` accepts chunked bodies; `max_body_bytes` limits stated lengths.
+    `chunked` accepts chunked bodies; `max_body` limits Content-Length, bytes.
     """
     try:
         line, fields = parse_head(head)
@@ -81,7 +81,7 @@
     except MalformedHead as exc:
         return Malformed(status=400, detail=str(exc))
     encoding = values.get("transfer-encoding")
-    if encoding is not None and not allow_chunked:
+    if encoding is not None and not chunked:
         return Malformed(status=411, detail="Content-Length required")
     length = parse_length(values.get("content-length"))
     if length is None:
@@ -90,7 +90,7 @@
         if encoding.lower() != "chunked" or "content-length" in values:
             return Malformed(status=400, detail="invalid Transfer-Encoding")
         length = CHUNKED
-    if length > max_body_bytes:
+    if length > max_body:
         return Malformed(status=413, detail="body too large")
     if not path.startswith("/") or path.startswith("//"):
         return Malformed(status=400, detail="request target is not a path")
--- a/ferrydeck/net/http_client.py
+++ b/ferrydeck/net/http_client.py
@@ -94,7 +94,7 @@
             )
             return
         conn.delivered = 0
-        self._send_request(conn, ticket, deadline, data)
+        self._submit(conn, ticket, deadline, data)
 
     def close_idle(self) -> None:
         """Close the idle connections."""
--- a/ferrydeck/net/request_client.py
+++ b/ferrydeck/net/request_client.py
@@ -51,9 +51,9 @@
     """Sends requests to one address and delivers the answers to `listener`."""
 
     conn_class: type[RequestConn] = RequestConn
-    keepalive_probes = 1
+    probes = 1
     """Unanswered keepalive probes after which a connection is closed."""
-    unacked_timeout_ms = 0
+    unacked_ms = 0
     """Limit for unacknowledged sent data, milliseconds; 0 for the kernel's default."""
     until_close = False
     """Whether a body may be delimited by the end of the connection."""
@@ -117,19 +117,13 @@
         sock = sockets.dial(self.address)
         if sock is None:
             return None
-        sockets.enable_keepalive(
-            sock,
-            keepalive_probes=self.keepalive_probes,
-            unacked_timeout_ms=self.unacked_timeout_ms,
-        )
+        sockets.enable_keepalive(sock, probes=self.probes, unacked_ms=self.unacked_ms)
         conn = self.conn_class(sock=sock)
         self.add_conn(conn)
         self.await_writable(conn)
         return conn
 
-    def _send_request(
-        self, conn: Any, ticket: int, deadline: float, data: bytes
-    ) -> None:
+    def _submit(self, conn: Any, ticket: int, deadline: float, data: bytes) -> None:
         """Send a request on an idle connection."""
         conn.ticket = ticket
         conn.deadline = deadline
--- a/ferrydeck/net/sockets.py
+++ b/ferrydeck/net/sockets.py
@@ -209,20 +209,18 @@
     return host.strip("[]"), int(port)
 
 
-def enable_keepalive(
-    sock: socket.socket, *, keepalive_probes: int, unacked_timeout_ms: int = 0
-) -> None:
+def enable_keepalive(sock: socket.socket, *, probes: int, unacked_ms: int = 0) -> None:
     """Enable TCP keepalive, to detect peers that vanished without closing.
 
-    `unacked_timeout_ms` limits how long sent data may stay unacknowledged; 0 keeps the
+    `unacked_ms` limits how long sent data may stay unacknowledged; 0 keeps the
     default of the kernel.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, keepalive_probes)
-    if unacked_timeout_ms:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_timeout_ms)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, probes)
+    if unacked_ms:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_ms)
 
 
 def dial(address: str) -> socket.socket | None:
--- a/ferrydeck/platform/heartbeats.py
+++ b/ferrydeck/platform/heartbeats.py
@@ -65,7 +65,7 @@
     try:
         parsed = msgspec.json.decode(body, type=HeartbeatBody)
         ready = READY_BY_STATE[parsed.state]
-        warmup_s = units.parse_duration(parsed.cold_remaining)
+        warmup_s = units.to_seconds(parsed.cold_remaining)
     except (msgspec.DecodeError, LookupError, ValueError):
         return None
     if parsed.born < 0 or parsed.sequence < 0 or parsed.slots < 0:
--- a/ferrydeck/platform/kv.py
+++ b/ferrydeck/platform/kv.py
@@ -82,7 +82,7 @@
         # Despite its name, `tls_key` is the key of an entry.
         return page["items"][-1]["tls_key"] if page.get(MORE_PAGES_KEY) else ""
     except (msgspec.DecodeError, LookupError, TypeError, AttributeError):
-        # No key to continue from; `from_http` parses the page too and reports errors.
+        # `from_http` parses the page as well and reports errors.
         return ""
 
 
@@ -147,12 +147,10 @@
             return store.BoxesFound(records=records, odd=len(parsed) - len(records))
         case store.GrantLease():
             return store.Leased(
-                lease=answer["lease"], ttl_s=units.parse_duration(answer["ttl_time"])
+                lease=answer["lease"], ttl_s=units.to_seconds(answer["ttl_time"])
             )
         case store.KeepLease(lease=lease):
-            return store.Leased(
-                lease=lease, ttl_s=units.parse_duration(answer["ttl_time"])
-            )
+            return store.Leased(lease=lease, ttl_s=units.to_seconds(answer["ttl_time"]))
 
 
 def _parse_policy(item: dict[str, Any], at: int) -> store.PolicyFound:
--- a/ferrydeck/platform/limits.py
+++ b/ferrydeck/platform/limits.py
@@ -10,10 +10,7 @@
 from ferrydeck.mesh import context
 from ferrydeck.platform import units
 
-NUMBERS = {
-    "retry_budget_ratio": "retry_ratio",
-    "budget_slack": "retry_slack",
-}
+NUMBERS = {"retry_budget_ratio": "retry_ratio", "budget_slack": "retry_slack"}
 """Fields of `context.Limits` by name of the numeric setting."""
 DRAIN = "drain_s"
 """Drain time of targets; validated but unused."""
@@ -35,30 +32,25 @@
     stated: Mapping[str, str], heartbeat: str, report: findings.Report
 ) -> context.Limits:
     """Parse settings such as `grace = "6s"`; unknown ones are ignored."""
-    limits: dict[str, float] = {}
+    found: dict[str, float] = {}
     for name, field in NUMBERS.items():
         if name in stated:
-            _set(limits, field, float, stated[name], name, report)
+            _set(found, field, float, stated[name], name, report)
     for name, field in DURATIONS.items():
         if name in stated:
-            _set(limits, field, units.parse_duration, stated[name], name, report)
-    limits.pop(DRAIN, None)
+            _set(found, field, units.to_seconds, stated[name], name, report)
+    found.pop(DRAIN, None)
     if stated.get(STRICT_REVOKE) == TRUE and REVOKE in stated:
-        _set(limits, "revoke_s", units.parse_duration, stated[REVOKE], REVOKE, report)
+        _set(found, "revoke_s", units.to_seconds, stated[REVOKE], REVOKE, report)
     if heartbeat:
         _set(
-            limits,
-            "heartbeat_s",
-            units.parse_duration,
-            heartbeat,
-            "report_interval",
-            report,
+            found, "heartbeat_s", units.to_seconds, heartbeat, "report_interval", report
         )
-    return attrs.evolve(context.Limits(), **limits)
+    return attrs.evolve(context.Limits(), **found)
 
 
 def _set(
-    limits: dict[str, float],
+    found: dict[str, float],
     field: str,
     parse: object,
     text: str,
@@ -66,6 +58,6 @@
     report: findings.Report,
 ) -> None:
     try:
-        limits[field] = parse(text)
+        found[field] = parse(text)
     except ValueError as exc:
         report.add(f"terms.{name}", str(exc))
--- a/ferrydeck/platform/manifest.py
+++ b/ferrydeck/platform/manifest.py
@@ -139,9 +139,9 @@
     host, prefix = row["host"], row["path_prefix"]
     if not host or not prefix.startswith("/") or not prefix.endswith("/"):
         raise ValueError("host is missing or path prefix is not between slashes")
-    timeout_s = units.parse_duration(row["timeout"])
+    timeout_s = units.to_seconds(row["timeout"])
     # The latency objective of the route; it includes time spent in queues.
-    objective_s = units.parse_duration(row.get("target_latency", row["timeout"]))
+    objective_s = units.to_seconds(row.get("target_latency", row["timeout"]))
     attempts, priority = row.get("max_attempts", 1), row.get("priority", 0)
     if timeout_s <= 0 or objective_s < 0 or attempts < 1 or priority < 0:
         raise ValueError("timeout, objective, attempts or priority out of range")
@@ -193,4 +193,4 @@
 
 
 def _time(table: dict[str, Any], name: str, default: float) -> float:
-    return units.parse_duration(table[name]) if name in table else default
+    return units.to_seconds(table[name]) if name in table else default
--- a/ferrydeck/platform/units.py
+++ b/ferrydeck/platform/units.py
@@ -6,7 +6,7 @@
 """Seconds per unit; `ms` precedes `s`, which is a suffix of it."""
 
 
-def parse_duration(text: object) -> float:
+def to_seconds(text: object) -> float:
     """Parse a duration such as `1500ms` or `2.5s` to seconds; raises `ValueError`."""
     if not isinstance(text, str):
         raise ValueError(f"expected a duration with a unit, got {text!r}")
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -128,13 +128,13 @@
 
 @pytest.mark.parametrize(("text", "value"), [("1500ms", 1.5), ("2.5s", 2.5)])
 def test_durations_are_parsed(text, value):
-    assert units.parse_duration(text) == value
+    assert units.to_seconds(text) == value
 
 
 @pytest.mark.parametrize("text", ["15", "", "ms", "1.2.3s", "-5s", None, 5])
 def test_invalid_durations_are_rejected(text):
     with pytest.raises(ValueError):
-        units.parse_duration(text)
+        units.to_seconds(text)
 
 
 def test_request_fields_are_parsed_and_hop_by_hop_fields_removed():
--- a/tests/unit/test_http.py
+++ b/tests/unit/test_http.py
@@ -41,24 +41,24 @@
     ],
 )
 def test_ambiguous_request_heads_are_rejected(text):
-    assert request(text, allow_chunked=True) == http.Malformed(
-        status=400, detail=request(text, allow_chunked=True).detail
+    assert request(text, chunked=True) == http.Malformed(
+        status=400, detail=request(text, chunked=True).detail
     )
 
 
 def test_chunked_encoding_with_a_content_length_is_rejected():
     text = "POST /a HTTP/1.1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
-    assert request(text, allow_chunked=True).status == 400
+    assert request(text, chunked=True).status == 400
 
 
 def test_other_transfer_codings_are_rejected():
     text = "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n"
-    assert request(text, allow_chunked=True).status == 400
+    assert request(text, chunked=True).status == 400
 
 
 def test_a_body_above_the_limit_is_rejected():
     text = "POST /a HTTP/1.1\r\nContent-Length: 50\r\n\r\n"
-    assert request(text, max_body_bytes=49).status == 413
+    assert request(text, max_body=49).status == 413
 
 
 def test_a_response_without_a_length_ends_when_the_connection_closes():
