--- a/ferrydeck/replay/player.py
+++ b/ferrydeck/replay/player.py
@@ -102,7 +102,7 @@
             attrs.evolve(one, slots=one.slots * self.scale)
             for one in self.bundle.services
         )
-        self.world.use(attrs.evolve(self.bundle, services=services))
+        self.world.activate_bundle(attrs.evolve(self.bundle, services=services))
         centres = self.case.data_centres
         for name in centres:
             self.world.add_box(f"{name}-entry", name)
@@ -131,8 +131,8 @@
             case "cut":
                 others = set(self.case.data_centres) - {fault.data_centre}
                 pairs = {frozenset((fault.data_centre, one)) for one in others}
-                faults.cut = pairs if on else set()
-                faults.cut_from_platform = {fault.data_centre} if on else set()
+                faults.partitions = pairs if on else set()
+                faults.partitioned_from_platform = {fault.data_centre} if on else set()
 
     def _plan_line(self, line: cases.Line, start: float) -> None:
         rounds = int(self.case.seconds / self.case.loop_s)
@@ -245,7 +245,7 @@
 
     def _attempts(self) -> float:
         attempts = forwarded = 0
-        for finished in self.world.finished:
+        for finished in self.world.finished_calls:
             attempts += finished.attempts
             forwarded += finished.attempts > 0
         return attempts / forwarded if forwarded else 0.0
--- a/ferrydeck/replay/world.py
+++ b/ferrydeck/replay/world.py
@@ -27,10 +27,10 @@
 from ferrydeck.signed.wire import codec, messages
 from ferrydeck.standins import store
 
-NEAR_S = 0.0003
-FAR_S = 0.001
-PLATFORM_S = 0.003
-NO_ANSWER_S = 0.5
+LOCAL_LATENCY_S = 0.0003
+REMOTE_LATENCY_S = 0.001
+PLATFORM_LATENCY_S = 0.003
+PLATFORM_TIMEOUT_S = 0.5
 CLUSTER = "replay"
 
 
@@ -40,19 +40,19 @@
 
     platform_down: bool = False
     platform_slow_s: float = 0.0
-    lose_answers: int = 0
+    lost_responses: int = 0
     """So many writes to come take effect, but their answers are lost."""
-    cut: set[frozenset[str]] = attrs.Factory(set)
+    partitions: set[frozenset[str]] = attrs.Factory(set)
     """Pairs of data centres between which nothing passes."""
-    cut_from_platform: set[str] = attrs.Factory(set)
-    loss: float = 0.0
+    partitioned_from_platform: set[str] = attrs.Factory(set)
+    loss_ratio: float = 0.0
     """Share of the messages between daemons that are lost."""
-    late: float = 0.0
+    delay_ratio: float = 0.0
     """Share of the messages that come late, by up to `late_s`."""
-    late_s: float = 0.5
-    doubled: float = 0.0
+    max_delay_s: float = 0.5
+    duplicate_ratio: float = 0.0
     """Share of the messages that come twice."""
-    delay: Callable[[str, messages.Message], float] | None = None
+    extra_delay: Callable[[str, messages.Message], float] | None = None
     """Seconds that a message of a box is held up, besides; below 0 it is lost."""
 
 
@@ -67,21 +67,21 @@
     clock_offset: float
     alive: bool = True
     frozen: bool = False
-    held: list[events.Event] = attrs.Factory(list)
+    queued_events: list[events.Event] = attrs.Factory(list)
     wake_at: float = float("inf")
-    ended: bool = False
+    stopped: bool = False
     audit: list[effects.Audit] = attrs.Factory(list)
 
 
 @attrs.define(kw_only=True, eq=False)
-class Sent:
+class ClientCall:
     """A call of a caller, and what it got."""
 
     entry: str
     path: str
     key: str
-    began: float
-    ended: float = 0.0
+    started_at: float
+    answered_at: float = 0.0
     answer: effects.AnswerCaller | None = None
     finished: effects.CallFinished | None = None
 
@@ -103,20 +103,20 @@
         self.rng = random.Random(seed)
         self.policy = policy or policies.Policy()
         self.boxes: dict[str, Box] = {}
-        self.by_address: dict[str, str] = {}
+        self.names_by_address: dict[str, str] = {}
         self.faults = Faults()
         self.store = store.Store()
-        self.calls: list[Sent] = []
-        self.waiting: dict[tuple[str, int], Callable] = {}
-        self.sent: dict[tuple[str, int], Sent] = {}
+        self.calls: list[ClientCall] = []
+        self.answer_callbacks: dict[tuple[str, int], Callable] = {}
+        self.open_calls: dict[tuple[str, int], ClientCall] = {}
         self.observer: Callable[[str, events.Event, list], None] | None = None
-        self.finished: list[effects.CallFinished] = []
-        self.graveyard: list[Box] = []
+        self.finished_calls: list[effects.CallFinished] = []
+        self.killed_boxes: list[Box] = []
         self._conns = itertools.count(1)
         self._incarnations = itertools.count(1)
         self._verified: signing.Verified | None = None
 
-    def use(self, bundle: bundles.Bundle) -> None:
+    def activate_bundle(self, bundle: bundles.Bundle) -> None:
         """Put a bundle in force at every box, now and when one starts."""
         body = bundles.canonical_body(bundle).decode()
         signed = signing.SignedBundle(body=body)
@@ -131,7 +131,7 @@
     ) -> Box:
         """Start a box, and its target where it gives a service."""
         address = f"{name}:1"
-        self.by_address[address] = name
+        self.names_by_address[address] = name
         core = daemon_core.Core(
             identity=context.Identity(
                 cluster=CLUSTER,
@@ -171,8 +171,8 @@
         """End a box's daemon at once; its target goes on."""
         box = self.boxes[name]
         box.alive = False
-        box.held.clear()
-        self.graveyard.append(box)
+        box.queued_events.clear()
+        self.killed_boxes.append(box)
 
     def restart(self, name: str) -> Box:
         """Start a box's daemon anew, with nothing kept."""
@@ -188,14 +188,14 @@
         """Have a daemon go on, with all that came in meanwhile."""
         box = self.boxes[name]
         box.frozen = False
-        held, box.held = box.held, []
-        self.feed(box, events.Wake())
+        held, box.queued_events = box.queued_events, []
+        self.handle_event(box, events.Wake())
         for event in held:
-            self.feed(box, event)
+            self.handle_event(box, event)
 
     def stop(self, name: str) -> None:
         """Ask a daemon to end as planned."""
-        self.feed(self.boxes[name], events.StopAsked(end=True, reason="test"))
+        self.handle_event(self.boxes[name], events.StopAsked(end=True, reason="test"))
 
     def call(
         self,
@@ -209,7 +209,7 @@
         token: str = "",
         local: bool = False,
         then: Callable[[effects.AnswerCaller], None] | None = None,
-    ) -> Sent:
+    ) -> ClientCall:
         """Send a call of a caller through an entry box."""
         fields = []
         if key:
@@ -220,12 +220,12 @@
         if token:
             fields.append(messages.Header(name="ferrydeck-context", value=token))
         conn = next(self._conns)
-        sent = Sent(entry=entry, path=path, key=key, began=self.env.now)
+        sent = ClientCall(entry=entry, path=path, key=key, started_at=self.env.now)
         if not local:
             self.calls.append(sent)
-        self.sent[entry, conn] = sent
+        self.open_calls[entry, conn] = sent
         if then is not None:
-            self.waiting[entry, conn] = then
+            self.answer_callbacks[entry, conn] = then
         event = events.CallReceived(
             conn=conn,
             local=local,
@@ -234,7 +234,7 @@
             headers=tuple(fields),
             body=body,
         )
-        self.feed(self.boxes[entry], event)
+        self.handle_event(self.boxes[entry], event)
         return sent
 
     def effects(self) -> list[targets.Effect]:
@@ -242,12 +242,12 @@
         found = [box.target.log for box in self.boxes.values() if box.target]
         return sorted(itertools.chain(*found), key=lambda one: one.at)
 
-    def feed(self, box: Box, event: events.Event) -> None:
+    def handle_event(self, box: Box, event: events.Event) -> None:
         """Give a box's core an event, or hold it while the box stands still."""
-        if not box.alive or box.ended:
+        if not box.alive or box.stopped:
             return
         if box.frozen:
-            box.held.append(event)
+            box.queued_events.append(event)
             return
         asked = box.core.handle(self._now(box), event)
         if self.observer is not None:
@@ -258,7 +258,7 @@
         return targets.FakeTarget(
             env=self.env,
             slots=slots,
-            feed=lambda event: self.feed(self.boxes[name], event),
+            feed=lambda event: self.handle_event(self.boxes[name], event),
             call=lambda path, token, then: self.call(
                 name, "GET", path, token=token, local=True, then=then
             ),
@@ -289,7 +289,7 @@
         box.wake_at = float("inf")
         if box.frozen:
             return
-        self.feed(box, events.Wake())
+        self.handle_event(box, events.Wake())
 
     def _do(self, box: Box, effect: effects.Effect) -> None:
         match effect:
@@ -298,8 +298,8 @@
             case effects.AnswerCaller(conn=conn):
                 self._answer(box, conn, effect)
             case effects.CallFinished(conn=conn):
-                self.finished.append(effect)
-                sent = self.sent.pop((box.name, conn), None)
+                self.finished_calls.append(effect)
+                sent = self.open_calls.pop((box.name, conn), None)
                 if sent is not None:
                     sent.finished = effect
             case effects.DispatchTarget():
@@ -311,27 +311,30 @@
             case effects.Audit():
                 box.audit.append(effect)
             case effects.Ended():
-                box.ended = True
+                box.stopped = True
 
     def _answer(self, box: Box, conn: int, effect: effects.AnswerCaller) -> None:
-        sent = self.sent.get((box.name, conn))
+        sent = self.open_calls.get((box.name, conn))
         if sent is None:
             return
         sent.answer = effect
-        sent.ended = self.env.now
-        then = self.waiting.pop((box.name, conn), None)
+        sent.answered_at = self.env.now
+        then = self.answer_callbacks.pop((box.name, conn), None)
         if then is not None:
             then(effect)
 
     def _send(self, box: Box, effect: effects.SendPeer) -> None:
         """Carry a message to another box, as far as the faults let it."""
-        receiver = self.boxes.get(self.by_address.get(effect.address, ""))
-        if receiver is None or not receiver.alive or receiver.ended:
+        receiver = self.boxes.get(self.names_by_address.get(effect.address, ""))
+        if receiver is None or not receiver.alive or receiver.stopped:
             return
         between = frozenset((box.data_centre, receiver.data_centre))
-        if between in self.faults.cut or self.rng.random() < self.faults.loss:
+        if (
+            between in self.faults.partitions
+            or self.rng.random() < self.faults.loss_ratio
+        ):
             return
-        delay = self.faults.delay
+        delay = self.faults.extra_delay
         held_s = delay(box.name, effect.message) if delay else 0.0
         if held_s < 0:
             return
@@ -349,29 +352,29 @@
         )
         received = codec.Received(envelope=envelope, message=effect.message)
         event = events.PeerReceived(received=received)
-        times = 2 if self.rng.random() < self.faults.doubled else 1
+        times = 2 if self.rng.random() < self.faults.duplicate_ratio else 1
         for _ in range(times):
             transit_s = self._transit(between) + held_s
             self._after(transit_s, lambda: self._deliver(receiver.name, event))
 
     def _deliver(self, name: str, event: events.Event) -> None:
-        self.feed(self.boxes[name], event)
+        self.handle_event(self.boxes[name], event)
 
     def _transit(self, between: frozenset[str]) -> float:
-        transit = NEAR_S if len(between) == 1 else FAR_S
-        if self.rng.random() < self.faults.late:
-            transit += self.rng.uniform(0, self.faults.late_s)
+        transit = LOCAL_LATENCY_S if len(between) == 1 else REMOTE_LATENCY_S
+        if self.rng.random() < self.faults.delay_ratio:
+            transit += self.rng.uniform(0, self.faults.max_delay_s)
         return transit
 
     def _ask_platform(self, box: Box, request: platform.Request) -> None:
         faults = self.faults
-        if faults.platform_down or box.data_centre in faults.cut_from_platform:
-            self._after(NO_ANSWER_S, lambda: self._no_answer(box, request))
+        if faults.platform_down or box.data_centre in faults.partitioned_from_platform:
+            self._after(PLATFORM_TIMEOUT_S, lambda: self._no_answer(box, request))
             return
         if isinstance(request, platform.Watch):
             self._watch(box, request, self.env.now + request.wait_s)
             return
-        delay_s = PLATFORM_S + faults.platform_slow_s * self.rng.random()
+        delay_s = PLATFORM_LATENCY_S + faults.platform_slow_s * self.rng.random()
         self._after(delay_s, lambda: self._serve_platform(box, request))
 
     def _watch(self, box: Box, request: platform.Watch, ends: float) -> None:
@@ -384,13 +387,13 @@
 
     def _serve_platform(self, box: Box, request: platform.Request) -> None:
         result = self.store.apply(self.env.now, request)
-        if isinstance(result, platform.Written) and self.faults.lose_answers:
-            self.faults.lose_answers -= 1
-            self._after(NO_ANSWER_S, lambda: self._no_answer(box, request))
+        if isinstance(result, platform.Written) and self.faults.lost_responses:
+            self.faults.lost_responses -= 1
+            self._after(PLATFORM_TIMEOUT_S, lambda: self._no_answer(box, request))
             return
         answered = events.PlatformAnswered(request=request, result=result)
-        self._after(PLATFORM_S, lambda: self.feed(box, answered))
+        self._after(PLATFORM_LATENCY_S, lambda: self.handle_event(box, answered))
 
     def _no_answer(self, box: Box, request: platform.Request) -> None:
         result = platform.NoAnswer(detail="no answer")
-        self.feed(box, events.PlatformAnswered(request=request, result=result))
+        self.handle_event(box, events.PlatformAnswered(request=request, result=result))
--- a/ferrydeck/standins/app_server.py
+++ b/ferrydeck/standins/app_server.py
@@ -15,9 +15,9 @@
 from ferrydeck.standins import loop
 
 REPORT_TIMEOUT_S = 1.0
-LETHAL = "/lethal"
+CRASH_PATH = "/lethal"
 """What a path holds whose run ends the server in place of an answer."""
-LETHAL_EXIT = 70
+CRASH_EXIT_CODE = 70
 
 
 class Mood(enum.StrEnum):
@@ -134,7 +134,7 @@
 
     def _finish(self, req: loop.Asked, fields: dict[str, str]) -> None:
         self.at_work -= 1
-        if LETHAL in req.path:
+        if CRASH_PATH in req.path:
             self._end_by(req)
             return
         body = f"{self.service} {req.method} {req.path} ".encode() + req.body
@@ -159,7 +159,7 @@
             return
         line = {"ended": req.path, "instance": self.instance, "at": clock.now()}
         print(json.dumps(line), flush=True)
-        os._exit(LETHAL_EXIT)
+        os._exit(CRASH_EXIT_CODE)
 
     def _answer(
         self,
--- a/ferrydeck/standins/fleet.py
+++ b/ferrydeck/standins/fleet.py
@@ -22,15 +22,15 @@
 from ferrydeck.commands import client
 from ferrydeck.standins import port_range, sample
 
-STEP_S = 0.01
-START_S = 20.0
-FAULT_MARKS = ("raised", "Traceback", '"kind":"exception"')
+POLL_INTERVAL_S = 0.01
+START_TIMEOUT_S = 20.0
+EXCEPTION_MARKERS = ("raised", "Traceback", '"kind":"exception"')
 """What lines of logs hold where a handler raised; the last one stands in
 the decision log, which holds neither of the others."""
 
 
 def eventually(
-    condition: Callable[[], Any], what: str, *, within_s: float = START_S
+    condition: Callable[[], Any], what: str, *, within_s: float = START_TIMEOUT_S
 ) -> Any:
     """Wait until a condition holds and return its value; fail after `within_s`."""
     ends = clock.now() + within_s
@@ -41,7 +41,7 @@
                 return value
         if clock.now() > ends:
             raise AssertionError(f"not within {within_s} s: {what}")
-        pause.wait(STEP_S)
+        pause.wait(POLL_INTERVAL_S)
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -70,7 +70,7 @@
         """Have the process go on."""
         self.signal(signal.SIGCONT)
 
-    def stop(self, within_s: float = START_S) -> int:
+    def stop(self, within_s: float = START_TIMEOUT_S) -> int:
         """Ask the process to end as planned; return its exit code."""
         self.signal(signal.SIGTERM)
         return self.popen.wait(within_s)
@@ -106,7 +106,7 @@
         """Return what the target has started."""
         return json.loads(client.fetch(self.address("target"), "GET", "/_effects").body)
 
-    def behave(self, **changes: Any) -> None:
+    def configure_target(self, **changes: Any) -> None:
         """Change how the target behaves."""
         body = json.dumps(changes).encode()
         client.fetch(self.address("target"), "POST", "/_set", body=body)
@@ -138,13 +138,13 @@
     def __exit__(self, *_: object) -> None:
         self.close()
 
-    def faults_logged(self) -> list[str]:
+    def logged_exceptions(self) -> list[str]:
         """Return the lines of logs that report a handler that raised."""
         return [
             f"{process.name}: {line}"
             for process in self.processes
             for line in process.log.read_text(errors="replace").splitlines()
-            if any(mark in line for mark in FAULT_MARKS)
+            if any(mark in line for mark in EXCEPTION_MARKERS)
         ]
 
     def close(self) -> None:
@@ -176,18 +176,20 @@
         self.processes.append(process)
         return process
 
-    def tool(self, *arguments: str) -> subprocess.CompletedProcess:
+    def run_tool(self, *arguments: str) -> subprocess.CompletedProcess:
         """Run the operators' tool to its end."""
         command = [sys.executable, "-m", "ferrydeck.cli", *arguments]
         return subprocess.run(command, capture_output=True, text=True, check=False)
 
     def add_signer(self, name: str) -> None:
         """Make a key for an operator; daemons started from now on trust it."""
-        made = self.tool("keygen", "--signer", name, "--out", str(self.key_of(name)))
+        made = self.run_tool(
+            "keygen", "--signer", name, "--out", str(self.key_file(name))
+        )
         assert made.returncode == 0, made.stderr
         self.signers.append(made.stdout)
 
-    def key_of(self, name: str) -> pathlib.Path:
+    def key_file(self, name: str) -> pathlib.Path:
         """Return the file of an operator's secret key."""
         return self.folder / f"{name}.key"
 
@@ -249,13 +251,13 @@
         source.write_text(text)
         given = source
         for signer in signers:
-            key = str(self.key_of(signer))
+            key = str(self.key_file(signer))
             arguments = ("--signer", signer, "--key", key, "--out", str(signed))
-            made = self.tool("sign", str(given), *arguments)
+            made = self.run_tool("sign", str(given), *arguments)
             assert made.returncode == 0, made.stderr
             given = signed
         settings = next(iter(self.boxes.values())).settings
-        return self.tool("roll", str(signed), "--settings", str(settings))
+        return self.run_tool("roll", str(signed), "--settings", str(settings))
 
     def set_faults(self, **faults: Any) -> None:
         """Set what is wrong with the platform; what isn't named is right."""
@@ -266,7 +268,7 @@
         """Return how many reads and writes the platform has served."""
         return json.loads(client.fetch(self.control, "GET", "/_counts").body)
 
-    def list_boxes(self, states: dict[str, str]) -> None:
+    def set_box_list(self, states: dict[str, str]) -> None:
         """Set the platform's list of boxes."""
         listed = [
             {
--- a/ferrydeck/standins/port_range.py
+++ b/ferrydeck/standins/port_range.py
@@ -16,9 +16,9 @@
 
 IP = "127.0.0.1"
 FIRST_PORT = 10_000
-PORT_SPREAD = 20
+MAX_RANGES = 20
 """Ranges that can be held at a time: several runs of the tests with four processes."""
-PORTS_EACH = 1000
+RANGE_SIZE = 1000
 """Ports in a range; the first one is the guard. A port is handed out once, and of the
 processes that share all tests one has asked for 500."""
 
@@ -48,20 +48,20 @@
     ports: Iterator[int]
 
 
-def own_range() -> PortRange:
+def claim_free_range() -> PortRange:
     """Return the first range that no other process holds, from this process's id on."""
-    for turn in range(PORT_SPREAD):
-        index = (os.getpid() + turn) % PORT_SPREAD
-        first = FIRST_PORT + index * PORTS_EACH
+    for turn in range(MAX_RANGES):
+        index = (os.getpid() + turn) % MAX_RANGES
+        first = FIRST_PORT + index * RANGE_SIZE
         if (guard := claim_ports(first)) is not None:
-            ports = iter(range(first + 1, first + PORTS_EACH))
+            ports = iter(range(first + 1, first + RANGE_SIZE))
             return PortRange(guard=guard, ports=ports)
-    raise OSError(f"all {PORT_SPREAD} ranges of ports are held")
+    raise OSError(f"all {MAX_RANGES} ranges of ports are held")
 
 
 @functools.cache
 def _range() -> PortRange:
-    return own_range()
+    return claim_free_range()
 
 
 def free_port() -> int:
@@ -75,4 +75,4 @@
             with contextlib.suppress(OSError):
                 probe.bind((IP, port))
                 return port
-    raise OSError(f"all {PORTS_EACH} ports of this process's range were handed out")
+    raise OSError(f"all {RANGE_SIZE} ports of this process's range were handed out")
--- a/scripts/mixed_fleet.py
+++ b/scripts/mixed_fleet.py
@@ -318,7 +318,7 @@
 
 def no_faults(mesh: MixedFleet) -> str:
     """Look for handlers that raised."""
-    faults = mesh.faults_logged()
+    faults = mesh.logged_exceptions()
     if faults:
         raise StepFailed(f"{len(faults)}, the first: {faults[0]}")
     return "no handler raised"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -45,4 +45,4 @@
     yield make
     for mesh in made:
         mesh.close()
-        assert mesh.faults_logged() == []
+        assert mesh.logged_exceptions() == []
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -199,4 +199,4 @@
     markers = (f"/{shard} ", f"shard={shard}", "Leav", "leav", "Ended", "Stop", "key-")
     lines = [line for line in session.lines if any(mark in line for mark in markers)]
     assert "\n".join(lines) == golden
-    assert sim.boxes["south-ledger"].ended
+    assert sim.boxes["south-ledger"].stopped
--- a/tests/platform/mesh_fleet.py
+++ b/tests/platform/mesh_fleet.py
@@ -129,7 +129,7 @@
 
     spawn = fleet.Fleet.spawn
     close = fleet.Fleet.close
-    faults_logged = fleet.Fleet.faults_logged
+    logged_exceptions = fleet.Fleet.logged_exceptions
 
     def control(self, what: str, body: bytes = b"") -> dict[str, object]:
         address = f"{port_range.IP}:{self.store_port}"
--- a/tests/platform/test_teams.py
+++ b/tests/platform/test_teams.py
@@ -172,7 +172,7 @@
     made = mesh_fleet.MeshFleet(tmp_path)
     yield made
     made.close()
-    assert made.faults_logged() == []
+    assert made.logged_exceptions() == []
 
 
 def test_keys_are_taken_in_and_taken_away_end_to_end(mesh):
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -22,7 +22,7 @@
     made = mesh_fleet.MeshFleet(tmp_path)
     yield made
     made.close()
-    assert made.faults_logged() == []
+    assert made.logged_exceptions() == []
 
 
 def two_boxes(mesh, **server):
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -113,7 +113,7 @@
         count=st.integers(min_value=1, max_value=8), name=BOXES, ms=SERVICE_MS
     )
     def lost_answers(self, count, name, ms):
-        self.world.faults.lose_answers = count
+        self.world.faults.lost_responses = count
         self.world.restart(name)
         self.through(0.5, ms)
         self.after(ms)
@@ -137,9 +137,9 @@
 
     @stateful.rule(seconds=SECONDS, ms=SERVICE_MS)
     def data_centres_cut(self, seconds, ms):
-        self.world.faults.cut = {frozenset(("north", "south"))}
+        self.world.faults.partitions = {frozenset(("north", "south"))}
         self.through(seconds, ms)
-        self.world.faults.cut = set()
+        self.world.faults.partitions = set()
         self.after(ms)
 
     @stateful.rule(
@@ -148,30 +148,30 @@
         ms=SERVICE_MS,
     )
     def cut_from_the_platform(self, name, seconds, ms):
-        self.world.faults.cut_from_platform = {name}
+        self.world.faults.partitioned_from_platform = {name}
         self.through(seconds, ms)
         self.through(0.3, ms)
-        self.world.faults.cut_from_platform = set()
+        self.world.faults.partitioned_from_platform = set()
         self.after(ms)
 
     @stateful.rule(seconds=SECONDS, ms=SERVICE_MS)
     def bad_links(self, seconds, ms):
         faults = self.world.faults
-        faults.loss, faults.late, faults.doubled = 0.2, 0.4, 0.2
-        faults.late_s = 3.0
+        faults.loss_ratio, faults.delay_ratio, faults.duplicate_ratio = 0.2, 0.4, 0.2
+        faults.max_delay_s = 3.0
         self.through(seconds, ms)
-        faults.loss = faults.late = faults.doubled = 0.0
+        faults.loss_ratio = faults.delay_ratio = faults.duplicate_ratio = 0.0
         self.after(ms)
 
     @stateful.rule(name=BOXES, ms=SERVICE_MS)
     def handed_over_on_bad_links(self, name, ms):
-        self.world.faults.loss, self.world.faults.late = 0.3, 0.3
+        self.world.faults.loss_ratio, self.world.faults.delay_ratio = 0.3, 0.3
         self.stopped_as_planned(name, 0.3, ms)
-        self.world.faults.loss = self.world.faults.late = 0.0
+        self.world.faults.loss_ratio = self.world.faults.delay_ratio = 0.0
 
     @stateful.invariant()
     def no_key_takes_effect_twice(self):
-        worlds.check_effects(self.world)
+        worlds.check_at_most_once(self.world)
 
 
 TestLedger = Ledger.TestCase
@@ -216,15 +216,15 @@
 def test_an_owner_cut_off_for_longer_than_the_quarantine_takes_no_key():
     made = worlds.ledger_world()
     mine = keys_of(made, "north-ledger")
-    made.faults.cut_from_platform = {"north"}
-    made.faults.cut = {frozenset(("north", "south"))}
+    made.faults.partitioned_from_platform = {"north"}
+    made.faults.partitions = {frozenset(("north", "south"))}
     made.run(20)
     assert len(made.boxes["south-ledger"].core.shard_owner.owned) == 32
     for key in mine:
         posting(made, "north-entry", key)
         posting(made, "south-entry", key)
     made.run(2)
-    worlds.check_effects(made)
+    worlds.check_at_most_once(made)
     told = {call.outcome for call in made.calls if call.entry == "south-entry"}
     assert told == {"done"}, "the successor serves once its quarantine is over"
 
@@ -233,25 +233,25 @@
 def test_an_owner_that_comes_back_to_a_slow_platform_finds_itself_fenced(seed):
     made = worlds.ledger_world(seed)
     mine = keys_of(made, "north-ledger", 60)
-    made.faults.cut_from_platform = {"north"}
-    made.faults.cut = {frozenset(("north", "south"))}
+    made.faults.partitioned_from_platform = {"north"}
+    made.faults.partitions = {frozenset(("north", "south"))}
     made.run(20)
     # Answers come in any order: its lease may be renewed before it has read
     # that its shards are another's.
-    made.faults.cut_from_platform = set()
+    made.faults.partitioned_from_platform = set()
     made.faults.platform_slow_s = 1.0
     for key in mine:
         posting(made, "north-entry", key)
         posting(made, "south-entry", key)
         made.run(0.1)
-    worlds.check_effects(made)
+    worlds.check_at_most_once(made)
 
 
 def test_the_table_of_a_handing_over_that_failed_is_of_no_use():
     made = patient_world()
     mine = keys_of(made, "north-ledger")
     # The owner begins to hand over, but never hears that its table was taken.
-    made.faults.delay = lambda _, message: (
+    made.faults.extra_delay = lambda _, message: (
         -1.0 if isinstance(message, messages.ShardTaken) else 0.0
     )
     shards = [keys.shard_of(key) for key in mine]
@@ -270,7 +270,7 @@
     for key in mine:
         posting(made, "south-entry", key)
     made.run(2)
-    worlds.check_effects(made)
+    worlds.check_at_most_once(made)
     assert len(made.effects()) == len(mine)
 
 
@@ -285,12 +285,12 @@
     run_until(made, lambda: len(successor.owned) == 32)
     made.restart("north-ledger")
     made.stop("south-ledger")
-    run_until(made, lambda: made.boxes["south-ledger"].ended)
+    run_until(made, lambda: made.boxes["south-ledger"].stopped)
     assert len(made.boxes["north-ledger"].core.shard_owner.owned) == 32
     for key in mine:
         posting(made, "north-entry", key)
     made.run(1)
-    worlds.check_effects(made)
+    worlds.check_at_most_once(made)
     assert {call.outcome for call in made.calls[-len(mine) :]} == {"unknown"}
 
 
@@ -298,7 +298,7 @@
     # Twenty postings one after the other may outlast a window of seconds on a busy
     # machine; the later ones are then new keys to the successor, and rightly run.
     made = worlds.ledger_world()
-    quarantine_s = worlds.bundle_of(worlds.LEDGER).quarantine_s
+    quarantine_s = worlds.parse_bundle(worlds.LEDGER).quarantine_s
     mine = keys_of(made, "north-ledger", 2)
     for key in mine:
         posting(made, "north-entry", key)
@@ -320,7 +320,7 @@
 def test_a_queued_posting_does_not_start_after_the_lease():
     made = world.World(seed=1)
     bundle = worlds.LEDGER.replace("deadline_ms = 1000", "deadline_ms = 9000")
-    made.use(worlds.bundle_of(bundle))
+    made.activate_bundle(worlds.parse_bundle(bundle))
     made.add_box("north-entry", "north")
     made.add_box("north-ledger", "north", service="payments-ledger", slots=4)
     made.run(3)
@@ -328,7 +328,7 @@
         posting(made, "north-entry", f"key-{number}", ms=300)
     made.run(0.1)
     assert len(made.effects()) == 4
-    made.faults.cut_from_platform = {"north"}
+    made.faults.partitioned_from_platform = {"north"}
     made.freeze("north-ledger")
     made.run(3)
     made.thaw("north-ledger")
@@ -342,7 +342,7 @@
     made = worlds.ledger_world()
     key = keys_of(made, "south-ledger", 1)[0]
     # The first sending is held up between the data centres for 0.5 s.
-    made.faults.delay = lambda box, message: (
+    made.faults.extra_delay = lambda box, message: (
         0.5 if box == "north-entry" and isinstance(message, messages.Forward) else 0.0
     )
     first = posting(made, "north-entry", key)
--- a/tests/promises/test_at_most_once_processes.py
+++ b/tests/promises/test_at_most_once_processes.py
@@ -75,7 +75,7 @@
     mesh, entry, other = start(make_fleet)
     by_owner = keys_by_owner(entry)
     owner = mesh.boxes["north-ledger"]
-    owner.behave(service_ms=400)
+    owner.configure_target(service_ms=400)
     owner.daemon.kill()
     successor = mesh.boxes["south-ledger"]
     fleet.eventually(lambda: len(successor.status()["shards"]) == 32, "takeover")
--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -76,11 +76,11 @@
         source = mesh.folder / f"race-{signer}.toml"
         signed = mesh.folder / f"race-{signer}.json"
         source.write_text(text)
-        key = str(mesh.key_of(signer))
+        key = str(mesh.key_file(signer))
         arguments = ("--signer", signer, "--key", key, "--out", str(signed))
-        assert mesh.tool("sign", str(source), *arguments).returncode == 0
+        assert mesh.run_tool("sign", str(source), *arguments).returncode == 0
         settings = str(mesh.boxes["north-entry"].settings)
-        results[signer] = mesh.tool("roll", str(signed), "--settings", settings)
+        results[signer] = mesh.run_tool("roll", str(signed), "--settings", settings)
 
     racers = [
         threading.Thread(target=roll, args=("akosua", 5.0)),
@@ -222,7 +222,7 @@
     text = text.replace('class_name = "publish"', 'class_name = "nothing"')
     path = mesh.folder / "bad.toml"
     path.write_text(text)
-    checked = mesh.tool("check", str(path))
+    checked = mesh.run_tool("check", str(path))
     assert checked.returncode == 2
     assert "slots" in checked.stderr
 
@@ -237,7 +237,7 @@
 
     def signed(version):
         text = worlds.LEDGER.replace("version = 1", f"version = {version}")
-        body = bundles.canonical_body(worlds.bundle_of(text)).decode()
+        body = bundles.canonical_body(worlds.parse_bundle(text)).decode()
         one = signing.sign(
             signing.SignedBundle(body=body), signer="akosua", secret=secret
         )
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -65,7 +65,7 @@
 
 def by_list(mesh, box):
     states = dict.fromkeys(mesh.boxes, "live")
-    mesh.list_boxes(states | {box.name: "leaving"})
+    mesh.set_box_list(states | {box.name: "leaving"})
 
 
 def by_crash(mesh, box):
@@ -87,7 +87,7 @@
 )
 def test_a_leaving_target_gets_no_new_work(make_fleet, leave, platform_out):
     mesh = start(make_fleet)
-    mesh.list_boxes(dict.fromkeys(mesh.boxes, "live"))
+    mesh.set_box_list(dict.fromkeys(mesh.boxes, "live"))
     callers = Callers(mesh)
     box = mesh.boxes["north-0"]
     fleet.eventually(lambda: box.effects(), "the box works")
--- a/tests/promises/test_not_run.py
+++ b/tests/promises/test_not_run.py
@@ -54,10 +54,10 @@
 def disturb(made, rng):
     """Bring about one fault."""
     faults = made.faults
-    faults.loss = rng.choice([0.0, 0.05, 0.2])
-    faults.late = rng.choice([0.0, 0.2])
-    faults.doubled = rng.choice([0.0, 0.2])
-    faults.cut = rng.choice([set(), {frozenset(("north", "south"))}])
+    faults.loss_ratio = rng.choice([0.0, 0.05, 0.2])
+    faults.delay_ratio = rng.choice([0.0, 0.2])
+    faults.duplicate_ratio = rng.choice([0.0, 0.2])
+    faults.partitions = rng.choice([set(), {frozenset(("north", "south"))}])
     name = rng.choice([one for one in made.boxes if "entry" not in one])
     match rng.randrange(4):
         case 0:
@@ -97,7 +97,7 @@
 
 def test_a_cancel_that_comes_before_its_call_keeps_it_from_running():
     made = chain_world(1)
-    made.faults.delay = lambda _, message: (
+    made.faults.extra_delay = lambda _, message: (
         0.5 if isinstance(message, messages.Forward) else 0.0
     )
     for number in range(20):
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -158,9 +158,9 @@
     made.faults.platform_slow_s = 1.0
     made.stop("north-ledger")
     made.run(0.3)
-    assert not made.boxes["north-ledger"].ended
+    assert not made.boxes["north-ledger"].stopped
     made.run(10)
-    assert made.boxes["north-ledger"].ended
+    assert made.boxes["north-ledger"].stopped
     successor = made.boxes["south-ledger"]
     assert len(successor.core.shard_owner.owned) == 32
     details = [one.detail for one in successor.audit if one.action == "shard-owned"]
--- a/tests/promises/test_retry_bound.py
+++ b/tests/promises/test_retry_bound.py
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_deep_chain_with_every_hop_retrying_stays_within_the_bound(seed):
     made = deep_world(seed)
-    made.faults.loss = 0.02 * (seed % 3)
+    made.faults.loss_ratio = 0.02 * (seed % 3)
     made.call("entry", "GET", deep_path(DEPTH, 2, 7, 500), deadline_ms=1000)
     made.run(5)
     runs = runs_by_hop(made)
@@ -94,7 +94,7 @@
     assert max(runs.values()) <= 1 + ALLOWANCE, runs
     last = made.calls[-1]
     assert last.outcome == "unknown"
-    assert last.ended == last.began, "a request given up is answered at once"
+    assert last.answered_at == last.started_at, "a request given up is answered at once"
 
 
 def test_three_real_hops_with_the_deep_target_failing(make_fleet):
--- a/tests/promises/test_whole_answers.py
+++ b/tests/promises/test_whole_answers.py
@@ -39,8 +39,8 @@
     made.run(2)
     rng = random.Random(seed)
     faults = made.faults
-    faults.late, faults.late_s = 0.4, 1.0
-    faults.doubled, faults.loss = 0.3, 0.05
+    faults.delay_ratio, faults.max_delay_s = 0.4, 1.0
+    faults.duplicate_ratio, faults.loss_ratio = 0.3, 0.05
     for number in range(500):
         if number % 100 == 50:
             made.restart(f"catalogue-{rng.randrange(3)}")
@@ -191,13 +191,13 @@
     path = f"/audio-delivery/episodes/1?size={AUDIO}"
     for box in mesh.boxes.values():
         if box.service:
-            box.behave(break_after=1_000_000)
+            box.configure_target(break_after=1_000_000)
     answer = client.fetch(entry.address("entry"), "GET", path)
     # Each box breaks after a megabyte, so the body comes in three pieces.
     assert answer.body == whole
     for box in mesh.boxes.values():
         if box.service:
-            box.behave(break_after=300_000)
+            box.configure_target(break_after=300_000)
     with pytest.raises((http.client.IncompleteRead, ConnectionError)):
         client.fetch(entry.address("entry"), "GET", path)
 
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -23,7 +23,7 @@
 STOP_S = 6.0
 """The grace of a planned stop, seconds."""
 FAULTS = ("busy", "silent", "lost")
-LETHAL_PATHS = tuple(f"/look{app_server.LETHAL}/{name}" for name in "abc")
+LETHAL_PATHS = tuple(f"/look{app_server.CRASH_PATH}/{name}" for name in "abc")
 COPIES_MOST = 4
 REVIVE_EVERY_S = 0.05
 MOODS = ("shed", "fail", "cut", "unsealed")
@@ -231,7 +231,7 @@
         while True:
             await asyncio.sleep(REVIVE_EVERY_S)
             for place in self.places:
-                ended = place.box.server.popen.poll() == app_server.LETHAL_EXIT
+                ended = place.box.server.popen.poll() == app_server.CRASH_EXIT_CODE
                 if ended and not place.server_busy:
                     place.server_busy = True
                     self._tasks.add(asyncio.ensure_future(self._start_ended(place)))
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -116,7 +116,7 @@
     )
     return Played(
         seed=seed,
-        broken=checks.broken(history) + fleet.faults_logged(),
+        broken=checks.broken(history) + fleet.logged_exceptions(),
         sent=len(history.sent),
         served=sum(one.status == 200 for one in history.sent),
         ended=collections.Counter(history.ended_by),
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -24,7 +24,7 @@
 
 def test_the_commands_of_a_working_day(mesh, tmp_path):
     entry, ledger = mesh.boxes["entry"], mesh.boxes["ledger"]
-    call = mesh.tool(
+    call = mesh.run_tool(
         "call",
         entry.address("entry"),
         "/payments-ledger/postings",
@@ -37,24 +37,24 @@
     told = json.loads(call.stdout)
     assert (call.returncode, told["data"]["outcome"]) == (0, "done")
     assert told["data"]["box"] == "ledger"
-    refused = mesh.tool("call", entry.address("entry"), "/nothing/here")
+    refused = mesh.run_tool("call", entry.address("entry"), "/nothing/here")
     assert (refused.returncode, "not-run" in refused.stderr) == (1, True)
     admins = [box.address("admin") for box in mesh.boxes.values()]
-    status = mesh.tool("status", *admins)
+    status = mesh.run_tool("status", *admins)
     assert "bundle_version=1" in status.stdout
-    audit = mesh.tool("audit", *admins, "--action", "bundle-accepted")
+    audit = mesh.run_tool("audit", *admins, "--action", "bundle-accepted")
     assert audit.stdout.count("bundle-accepted") == 2
     bundle = tmp_path / "next.toml"
     bundle.write_text(sample.bundle_toml(2, parent="0" * 64, lease_s=7))
-    review = mesh.tool("review", str(bundle), "--settings", str(entry.settings))
+    review = mesh.run_tool("review", str(bundle), "--settings", str(entry.settings))
     assert '+  "lease_s": 7,' in review.stdout
-    drained = mesh.tool("drain", ledger.address("admin"), "--wait-s", "0.5")
+    drained = mesh.run_tool("drain", ledger.address("admin"), "--wait-s", "0.5")
     # The last box of a service keeps its shards: there is nobody to hand them to.
     assert drained.returncode == 1
     mesh.set_faults(down=True)
     rolled = mesh.roll(sample.bundle_toml(2))
     assert rolled.returncode == 3
-    gone = mesh.tool("status", f"127.0.0.1:{port_range.free_port()}")
+    gone = mesh.run_tool("status", f"127.0.0.1:{port_range.free_port()}")
     assert gone.returncode == 3
 
 
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -93,7 +93,9 @@
 
 def test_shards_are_rebalanced_soon_even_with_a_long_lease():
     sim = world.World(seed=1)
-    sim.use(worlds.bundle_of(worlds.LEDGER.replace("lease_s = 2", "lease_s = 3600")))
+    sim.activate_bundle(
+        worlds.parse_bundle(worlds.LEDGER.replace("lease_s = 2", "lease_s = 3600"))
+    )
     sim.add_box("first", "north", service="payments-ledger", slots=4)
     sim.run(3)
     assert len(sim.boxes["first"].core.shard_owner.owned) == 32
@@ -130,7 +132,7 @@
     sim.run(0.2)
     # No other box fenced the owner meanwhile, so it continues with its key table.
     assert again.outcome == "done"
-    worlds.check_effects(sim)
+    worlds.check_at_most_once(sim)
 
 
 def test_calls_fail_over_from_a_silent_data_centre():
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -20,7 +20,7 @@
 
 def test_two_processes_never_hand_out_the_same_ports():
     first = port_range.free_port()
-    begins = first - (first - port_range.FIRST_PORT) % port_range.PORTS_EACH
+    begins = first - (first - port_range.FIRST_PORT) % port_range.RANGE_SIZE
     other = subprocess.Popen(
         [sys.executable, "-c", HOLDER, str(begins)],
         stdin=subprocess.PIPE,
@@ -33,8 +33,8 @@
 
 
 def test_a_range_that_is_held_is_passed_over(monkeypatch):
-    one = port_range.own_range()
-    two = port_range.own_range()
+    one = port_range.claim_free_range()
+    two = port_range.claim_free_range()
     with one.guard, two.guard:
         assert not set(one.ports) & set(two.ports)
 
@@ -49,7 +49,9 @@
         entry = f"port = {box.ports['entry']}"
         box.settings.write_text(text.replace(entry, f"port = {port}"))
         ours.restart(box)
-        assert box.daemon.popen.wait(fleet.START_S) == program.EXIT_ADDRESS_IN_USE
+        assert (
+            box.daemon.popen.wait(fleet.START_TIMEOUT_S) == program.EXIT_ADDRESS_IN_USE
+        )
         assert "address already in use:" in box.daemon.log.read_text()
         with pytest.raises(AssertionError, match="north-entry has ended with 3"):
             ours.wait_ready(shards=False)
@@ -65,4 +67,4 @@
     log.write_text("\n".join(lines))
     made = fleet.Fleet.__new__(fleet.Fleet)
     made.processes = [fleet.Process(name="daemon", popen=None, log=log)]
-    assert made.faults_logged() == [f"daemon: {line}" for line in lines[1:]]
+    assert made.logged_exceptions() == [f"daemon: {line}" for line in lines[1:]]
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -47,7 +47,7 @@
 POSTING = "/payments-ledger/postings"
 
 
-def bundle_of(text: str) -> bundles.Bundle:
+def parse_bundle(text: str) -> bundles.Bundle:
     bundle = bundles.parse(tomllib.loads(text), findings.Report(file="test"))
     assert isinstance(bundle, bundles.Bundle), str(bundle)
     return bundle
@@ -56,7 +56,7 @@
 def ledger_world(seed: int = 1, text: str = LEDGER) -> world.World:
     """Two data centres, each with an entry box and a ledger box."""
     made = world.World(seed=seed)
-    made.use(bundle_of(text))
+    made.activate_bundle(parse_bundle(text))
     for name in ("north", "south"):
         made.add_box(f"{name}-entry", name)
         made.add_box(f"{name}-ledger", name, service="payments-ledger", slots=4)
@@ -71,11 +71,11 @@
 ) -> world.World:
     """Return a world with the sample bundle and no boxes yet."""
     made = world.World(seed=seed, policy=policy)
-    made.use(bundle_of(sample.bundle_toml(**changes)))
+    made.activate_bundle(parse_bundle(sample.bundle_toml(**changes)))
     return made
 
 
-def check_effects(made: world.World) -> None:
+def check_at_most_once(made: world.World) -> None:
     """Check that no key took effect twice, nor after it was told as not run."""
     started = collections.defaultdict(list)
     for effect in made.effects():
@@ -97,5 +97,5 @@
     for call in sendings:
         if call.outcome != "not-run":
             continue
-        later = [one for one in sendings if call.began < one.began <= at]
-        assert later, f"{key} told as not run at {call.ended} took effect at {at}"
+        later = [one for one in sendings if call.started_at < one.started_at <= at]
+        assert later, f"{key} told as not run at {call.answered_at} took effect at {at}"
