--- a/ferrydeck/commands/audit.py
+++ b/ferrydeck/commands/audit.py
@@ -20,18 +20,18 @@
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
     """Merge the trails of the daemons by time."""
-    entries, missing = [], []
+    entries, unreachable = [], []
     for address in args.admin:
         try:
             body = client.fetch(address, "GET", "/audit").body
             entries += [json.loads(line) for line in body.splitlines()]
         except (OSError, ValueError, http.client.HTTPException) as exc:
-            missing.append(f"{address} no answer: {exc}")
+            unreachable.append(f"{address} no answer: {exc}")
     if args.action:
         entries = [one for one in entries if one["action"] == args.action]
     entries.sort(key=lambda one: one["time"])
     lines = [f"{e['time']} {e['box']} {e['action']}: {e['detail']}" for e in entries]
-    text = "\n".join(lines + missing)
-    if missing:
+    text = "\n".join(lines + unreachable)
+    if unreachable:
         return outcomes.NotKnown(text=text, data=entries)
     return outcomes.Done(text=text, data=entries)
--- a/ferrydeck/commands/call.py
+++ b/ferrydeck/commands/call.py
@@ -10,7 +10,7 @@
 from ferrydeck.signed.core import effects, headers
 
 EXAMPLE = "ferrydeck call 127.0.0.1:8080 /payments-ledger/postings --key 17 --post x"
-SLACK_S = 5.0
+TIMEOUT_MARGIN_S = 5.0
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
@@ -38,7 +38,7 @@
             args.path,
             body=(args.post or "").encode(),
             headers=fields,
-            timeout_s=(args.deadline_ms or 60_000) / 1000 + SLACK_S,
+            timeout_s=(args.deadline_ms or 60_000) / 1000 + TIMEOUT_MARGIN_S,
         )
     except (OSError, http.client.HTTPException) as exc:
         return outcomes.NotKnown(text=f"{args.entry} no whole answer: {exc!r}")
--- a/ferrydeck/commands/client.py
+++ b/ferrydeck/commands/client.py
@@ -13,8 +13,8 @@
 from ferrydeck.signed.net import platform_client
 
 TIMEOUT_S = 5.0
-RETRIES = 5
-RETRY_PAUSE_S = 0.1
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -43,34 +43,34 @@
     conn = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
         conn.request(method, path, body=body, headers=dict(headers or {}))
-        answer = conn.getresponse()
-        fields = {name.lower(): value for name, value in answer.getheaders()}
-        return Response(status=answer.status, headers=fields, body=answer.read())
+        response = conn.getresponse()
+        fields = {name.lower(): value for name, value in response.getheaders()}
+        return Response(status=response.status, headers=fields, body=response.read())
     finally:
         conn.close()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class PlatformPort:
+class PlatformClient:
     """The platform as the tool sees it: one request, one result, no state."""
 
     address: str
     timeout_s: float = TIMEOUT_S
 
-    def ask(self, request: platform.Request) -> platform.Result:
+    def send(self, request: platform.Request) -> platform.Result:
         """Send a request once."""
-        form = platform_client.to_http(request)
+        request_line = platform_client.to_http(request)
         try:
-            answer = fetch(
+            response = fetch(
                 self.address,
-                form.method,
-                form.path,
-                body=form.body,
+                request_line.method,
+                request_line.path,
+                body=request_line.body,
                 timeout_s=self.timeout_s,
             )
         except (OSError, http.client.HTTPException) as exc:
             return platform.NoAnswer(detail=repr(exc))
-        return platform_client.from_http(request, answer.status, answer.body)
+        return platform_client.from_http(request, response.status, response.body)
 
     def read(self, key: str) -> platform.Found | platform.Absent:
         """Read a key, again where no answer comes.
@@ -78,9 +78,9 @@
         Raises `PlatformUnreachable` where none comes at all.
         """
         result: platform.Result = platform.NoAnswer(detail="not asked")
-        for _ in range(RETRIES):
-            result = self.ask(platform.Read(key=key))
+        for _ in range(MAX_ATTEMPTS):
+            result = self.send(platform.Read(key=key))
             if isinstance(result, platform.Found | platform.Absent):
                 return result
-            time.sleep(RETRY_PAUSE_S)
+            time.sleep(RETRY_INTERVAL_S)
         raise exceptions.PlatformUnreachable(f"{self.address}: {result}")
--- a/ferrydeck/commands/drain.py
+++ b/ferrydeck/commands/drain.py
@@ -11,7 +11,7 @@
 from ferrydeck.commands import client
 
 EXAMPLE = "ferrydeck drain 127.0.0.1:9100 --wait-s 30"
-PAUSE_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
@@ -26,16 +26,16 @@
     """Ask for the drain and wait until nothing is in flight."""
     try:
         client.fetch(args.admin, "POST", "/drain")
-        ends = clock.now() + args.wait_s
+        deadline = clock.now() + args.wait_s
         table = status(args.admin)
-        while not drained(table) and clock.now() < ends:
-            time.sleep(PAUSE_S)
+        while not is_drained(table) and clock.now() < deadline:
+            time.sleep(POLL_INTERVAL_S)
             table = status(args.admin)
     except (OSError, ValueError, http.client.HTTPException) as exc:
         return outcomes.NotKnown(text=f"{args.admin} no answer: {exc}")
-    left = f"jobs={table['jobs']} callers={table['callers_waiting']}"
-    text = f"{table['box']} {left} shards={len(table['shards'])}"
-    if drained(table):
+    remaining = f"jobs={table['jobs']} callers={table['callers_waiting']}"
+    text = f"{table['box']} {remaining} shards={len(table['shards'])}"
+    if is_drained(table):
         return outcomes.Done(text=f"{text} drained", data=table)
     return outcomes.Refused(text=f"{text} still in flight", data=table)
 
@@ -45,6 +45,6 @@
     return json.loads(client.fetch(address, "GET", "/status").body)
 
 
-def drained(table: dict[str, object]) -> bool:
+def is_drained(table: dict[str, object]) -> bool:
     """Return whether nothing is in flight and no shard is left."""
     return not (table["jobs"] or table["callers_waiting"] or table["shards"])
--- a/ferrydeck/commands/explain.py
+++ b/ferrydeck/commands/explain.py
@@ -12,7 +12,7 @@
 
 EXAMPLE = "ferrydeck explain 9c41d07be2a35f68 box-1.log box-2.log"
 
-CAUSES = {
+CAUSES_BY_RESULT = {
     ("refused", "overload"): "refused: every gate asked had no slot in time",
     ("refused", "pressure"): "refused: what its run needs is short of room, or fails",
     ("refused", "no-server"): "refused: no gate of the service took work",
@@ -47,13 +47,13 @@
 }
 """What the last line of a request means, by outcome and reason."""
 
-FINAL = frozenset(
+FINAL_OUTCOMES = frozenset(
     {"answered", "refused", "unknown", "aborted", "declined", "caller-gone"}
 )
 
 
 @attrs.define(kw_only=True)
-class Story:
+class RequestHistory:
     """The lines about one request, in the order of time."""
 
     request_id: str
@@ -62,14 +62,14 @@
     @property
     def final(self) -> dict[str, Any] | None:
         """The line of the request's own final answer."""
-        own = [
+        final_lines = [
             line
             for line in self.lines
             if line["kind"] == "request"
             and line["id"] == self.request_id
-            and line.get("outcome") in FINAL
+            and line.get("outcome") in FINAL_OUTCOMES
         ]
-        return own[-1] if own else None
+        return final_lines[-1] if final_lines else None
 
     def cause(self) -> str:
         """Return one sentence on what became of the request."""
@@ -79,8 +79,8 @@
         key = (final["outcome"], final.get("reason", ""))
         if final["outcome"] == "answered":
             return f"answered by a server with status {final.get('reason')}"
-        said = CAUSES.get(key, f"{key[0]}: {key[1]}")
-        return f"{said} (box {final['box']}, after {final.get('ms', '?')} ms)"
+        cause = CAUSES_BY_RESULT.get(key, f"{key[0]}: {key[1]}")
+        return f"{cause} (box {final['box']}, after {final.get('ms', '?')} ms)"
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
@@ -93,27 +93,27 @@
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
     """Print the story of a request and its cause."""
-    story = Story(request_id=args.id)
-    reader = lines.Reader()
-    story.lines = [one for one in reader.read(args.files) if belongs(one, args.id)]
-    if not story.lines:
+    history = RequestHistory(request_id=args.id)
+    reader = lines.LogReader()
+    history.lines = [one for one in reader.read(args.files) if concerns(one, args.id)]
+    if not history.lines:
         return outcomes.BadInput(
             text=f"no line about {args.id}: lines of plain outcomes are left out first",
             data={"unreadable": reader.unreadable},
         )
-    story.lines.sort(key=lambda line: line["time"])
-    text = "\n".join([*map(described, story.lines), f"cause: {story.cause()}"])
-    data = {"cause": story.cause(), "lines": story.lines}
+    history.lines.sort(key=lambda line: line["time"])
+    text = "\n".join([*map(format_line, history.lines), f"cause: {history.cause()}"])
+    data = {"cause": history.cause(), "lines": history.lines}
     return outcomes.Done(text=text, data=data)
 
 
-def belongs(line: dict[str, Any], request_id: str) -> bool:
+def concerns(line: dict[str, Any], request_id: str) -> bool:
     """Return whether a line is about a request, or a call made for it."""
-    named = str(line.get("id", ""))
-    return named == request_id or named.startswith(request_id + ".")
+    line_id = str(line.get("id", ""))
+    return line_id == request_id or line_id.startswith(request_id + ".")
 
 
-def described(line: dict[str, Any]) -> str:
+def format_line(line: dict[str, Any]) -> str:
     """Return one line of the story."""
     rest = {
         name: value
--- a/ferrydeck/commands/files.py
+++ b/ferrydeck/commands/files.py
@@ -49,7 +49,7 @@
     return signed
 
 
-def verified(path: str, cfg: settings.Settings) -> signing.Verified:
+def read_verified(path: str, cfg: settings.Settings) -> signing.Verified:
     """Return a signed bundle that a daemon with these settings would take.
 
     Raises `BadInput` with the findings.
--- a/ferrydeck/commands/lines.py
+++ b/ferrydeck/commands/lines.py
@@ -13,7 +13,7 @@
 
 
 @attrs.define(kw_only=True)
-class Reader:
+class LogReader:
     """Reads lines of one or many logs; other text is counted or passed over."""
 
     unreadable: int = 0
@@ -28,12 +28,12 @@
 
     def parse(self, raw: bytes) -> Iterator[dict[str, Any]]:
         """Return the lines of a log; what stands before a line's brace is left out."""
-        for row in raw.splitlines():
-            start = row.find(b"{")
+        for text_line in raw.splitlines():
+            start = text_line.find(b"{")
             if start < 0:
                 continue
             try:
-                line = msgspec.json.decode(row[start:])
+                line = msgspec.json.decode(text_line[start:])
             except msgspec.DecodeError:
                 self.unreadable += 1
                 continue
--- a/ferrydeck/commands/roll.py
+++ b/ferrydeck/commands/roll.py
@@ -14,8 +14,8 @@
 from ferrydeck.signed.core import platform, rollout
 
 EXAMPLE = "ferrydeck roll signed.json --settings box.toml"
-TRIES = 5
-PAUSE_S = 0.2
+MAX_ATTEMPTS = 5
+RETRY_INTERVAL_S = 0.2
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
@@ -27,43 +27,47 @@
 def run(args: argparse.Namespace) -> outcomes.Outcome:
     """Verify the bundle as daemons do, store it, and move the pointer to it."""
     cfg = files.read_settings(args.settings)
-    verified = files.verified(args.signed, cfg)
-    port = client.PlatformPort(
+    verified = files.read_verified(args.signed, cfg)
+    platform_client = client.PlatformClient(
         address=cfg.platform.address, timeout_s=cfg.platform.timeout_s
     )
-    return roll(port, verified)
+    return roll(platform_client, verified)
 
 
-def roll(port: client.PlatformPort, verified: signing.Verified) -> outcomes.Outcome:
+def roll(
+    platform_client: client.PlatformClient, verified: signing.Verified
+) -> outcomes.Outcome:
     """Store a verified bundle once, and point to it from its parent only."""
-    pointed = port.read(rollout.POINTER)
-    refusal = check_parent(port, pointed, verified)
+    pointer_entry = platform_client.read(rollout.POINTER)
+    refusal = check_parent(platform_client, pointer_entry, verified)
     if refusal is not None:
         return refusal
-    refusal = store(port, verified)
+    refusal = store(platform_client, verified)
     if refusal is not None:
         return refusal
-    version = 0 if isinstance(pointed, platform.Absent) else pointed.entry.version
-    return move_pointer(port, verified, version)
+    version = (
+        0 if isinstance(pointer_entry, platform.Absent) else pointer_entry.entry.version
+    )
+    return move_pointer(platform_client, verified, version)
 
 
 def check_parent(
-    port: client.PlatformPort,
-    pointed: platform.Found | platform.Absent,
+    platform_client: client.PlatformClient,
+    pointer_entry: platform.Found | platform.Absent,
     verified: signing.Verified,
 ) -> outcomes.Outcome | None:
     """Return an outcome if the pointer isn't at the bundle's parent."""
     parent = verified.bundle.parent
-    if isinstance(pointed, platform.Absent):
+    if isinstance(pointer_entry, platform.Absent):
         if not parent:
             return None
         text = "the platform has no bundle yet, so a bundle has no parent"
         return outcomes.Refused(text=text)
-    current = msgspec.json.decode(pointed.entry.value, type=rollout.Pointer)
+    current = msgspec.json.decode(pointer_entry.entry.value, type=rollout.Pointer)
     if current.digest == verified.digest:
         return done(verified, "was in force already")
     if current.digest != parent:
-        return conflict(port, current)
+        return conflict(platform_client, current)
     if current.version >= verified.bundle.version:
         text = f"version {current.version} is in force; give a higher one"
         return outcomes.Refused(text=text)
@@ -71,68 +75,79 @@
 
 
 def store(
-    port: client.PlatformPort, verified: signing.Verified
+    platform_client: client.PlatformClient, verified: signing.Verified
 ) -> outcomes.Outcome | None:
     """Write the bundle under its version; an outcome if another one is there."""
     key = rollout.bundle_key(verified.bundle.version)
     value = verified.raw.decode()
-    for _ in range(TRIES):
-        result = port.ask(platform.Write(key=key, value=value, expected_version=0))
+    for _ in range(MAX_ATTEMPTS):
+        result = platform_client.send(
+            platform.Write(key=key, value=value, expected_version=0)
+        )
         if isinstance(result, platform.Written):
             return None
-        found = port.read(key)
+        found = platform_client.read(key)
         if isinstance(found, platform.Found):
             stored = json.loads(found.entry.value)
             if stored["body"] == verified.signed.body:
                 return None
-            return taken(verified.bundle.version, found.entry.value)
-        time.sleep(PAUSE_S)
+            return version_conflict(verified.bundle.version, found.entry.value)
+        time.sleep(RETRY_INTERVAL_S)
     return outcomes.NotKnown(text=f"{key}: no answer from the platform")
 
 
 def move_pointer(
-    port: client.PlatformPort, verified: signing.Verified, expect: int
+    platform_client: client.PlatformClient,
+    verified: signing.Verified,
+    expected_version: int,
 ) -> outcomes.Outcome:
     """Swap the pointer; after a lost answer read it again."""
     pointer = rollout.Pointer(version=verified.bundle.version, digest=verified.digest)
     value = msgspec.json.encode(pointer).decode()
-    for _ in range(TRIES):
-        result = port.ask(
-            platform.Write(key=rollout.POINTER, value=value, expected_version=expect)
+    for _ in range(MAX_ATTEMPTS):
+        result = platform_client.send(
+            platform.Write(
+                key=rollout.POINTER, value=value, expected_version=expected_version
+            )
         )
         if isinstance(result, platform.Written):
             return done(verified, "rolled")
-        found = port.read(rollout.POINTER)
-        if isinstance(found, platform.Found) and found.entry.version != expect:
+        found = platform_client.read(rollout.POINTER)
+        if (
+            isinstance(found, platform.Found)
+            and found.entry.version != expected_version
+        ):
             current = msgspec.json.decode(found.entry.value, type=rollout.Pointer)
             if current.digest == verified.digest:
                 return done(verified, "rolled")
-            return conflict(port, current)
-        time.sleep(PAUSE_S)
+            return conflict(platform_client, current)
+        time.sleep(RETRY_INTERVAL_S)
     return outcomes.NotKnown(text="the pointer: no answer from the platform")
 
 
-def done(verified: signing.Verified, how: str) -> outcomes.Done:
+def done(verified: signing.Verified, action: str) -> outcomes.Done:
     """Return the outcome of a bundle that is in force."""
     version = verified.bundle.version
-    text = f"version {version} digest {verified.digest} {how}"
+    text = f"version {version} digest {verified.digest} {action}"
     return outcomes.Done(text=text, data={"version": version})
 
 
-def conflict(port: client.PlatformPort, current: rollout.Pointer) -> outcomes.Refused:
+def conflict(
+    platform_client: client.PlatformClient, current: rollout.Pointer
+) -> outcomes.Refused:
     """Return the outcome of a race that another bundle won."""
-    found = port.read(rollout.bundle_key(current.version))
+    found = platform_client.read(rollout.bundle_key(current.version))
     value = found.entry.value if isinstance(found, platform.Found) else "{}"
-    return refused(current.version, current.digest, value)
+    return conflict_refusal(current.version, current.digest, value)
 
 
-def taken(version: int, value: str) -> outcomes.Refused:
+def version_conflict(version: int, value: str) -> outcomes.Refused:
     """Return the outcome of a version that another bundle has."""
     digest = signing.SignedBundle(body=json.loads(value)["body"]).digest
-    return refused(version, digest, value)
+    return conflict_refusal(version, digest, value)
 
 
-def refused(version: int, digest: str, value: str) -> outcomes.Refused:
+def conflict_refusal(version: int, digest: str, value: str) -> outcomes.Refused:
     """Name the bundle that stands in the way, and who signed it."""
     signers = [one["signer"] for one in json.loads(value).get("signatures", ())]
     text = (
--- a/ferrydeck/commands/status.py
+++ b/ferrydeck/commands/status.py
@@ -10,7 +10,7 @@
 from ferrydeck.commands import client
 
 EXAMPLE = "ferrydeck status 127.0.0.1:9100 127.0.0.1:9101"
-SHOWN = ("data_centre", "service", "ready", "leaving", "bundle_version", "jobs")
+STATUS_FIELDS = ("data_centre", "service", "ready", "leaving", "bundle_version", "jobs")
 
 
 def configure(parser: argparse.ArgumentParser) -> None:
@@ -20,22 +20,22 @@
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
     """Ask each daemon and show a line for each."""
-    lines, data, missing = [], {}, False
+    lines, data, unreachable = [], {}, False
     for address in args.admin:
         try:
             table = json.loads(client.fetch(address, "GET", "/status").body)
         except (OSError, ValueError, http.client.HTTPException) as exc:
             lines.append(f"{address} no answer: {exc}")
             data[address] = None
-            missing = True
+            unreachable = True
             continue
         data[address] = table
-        shown = " ".join(f"{name}={table[name]}" for name in SHOWN)
+        fields = " ".join(f"{name}={table[name]}" for name in STATUS_FIELDS)
         peers = sum(peer["takes_work"] for peer in table["peers"])
         lines.append(
-            f"{table['box']} {shown} shards={len(table['shards'])} peers={peers}"
+            f"{table['box']} {fields} shards={len(table['shards'])} peers={peers}"
         )
     text = "\n".join(lines)
-    if missing:
+    if unreachable:
         return outcomes.NotKnown(text=text, data=data)
     return outcomes.Done(text=text, data=data)
--- a/ferrydeck/commands/summary.py
+++ b/ferrydeck/commands/summary.py
@@ -13,16 +13,16 @@
 
 EXAMPLE = "ferrydeck summary --by route box-1.log box-2.log"
 
-SERVED = frozenset({"answered", "caller-gone"})
-REQUEST_STEPS = frozenset({"repeated", "not-repeated"})
+SERVED_OUTCOMES = frozenset({"answered", "caller-gone"})
+INTERMEDIATE_OUTCOMES = frozenset({"repeated", "not-repeated"})
 """Lines about requests that go on."""
-LOST = frozenset(
+LOSS_KINDS = frozenset(
     {"link-lost", "server-lost", "server-ended", "member-lost", "store-lost"}
 )
 """Kinds of lines that report something as gone."""
-SECOND = 19
+SECOND_LENGTH = 19
 """Length of a time stamp up to its seconds."""
-GROUPS = ("box", "route", "service", "team")
+GROUP_FIELDS = ("box", "route", "service", "team")
 
 
 @attrs.define(kw_only=True)
@@ -35,13 +35,13 @@
 
     def add(self, line: dict[str, Any]) -> None:
         """Count a line."""
-        second = str(line["time"])[:SECOND]
+        second = str(line["time"])[:SECOND_LENGTH]
         if line["kind"] == "lines-left-out":
             self.left_out += int(line.get("count", 0))
             return
-        what = self._what(line)
-        if what:
-            self.counts[(second, what, str(line.get(self.group, "-")))] += 1
+        event_name = self._event_name(line)
+        if event_name:
+            self.counts[(second, event_name, str(line.get(self.group, "-")))] += 1
 
     def rows(self) -> list[tuple[str, str, str, int]]:
         """Return second, what happened, group and count, in the order of time."""
@@ -50,20 +50,20 @@
     def totals(self) -> list[tuple[str, int]]:
         """Return what happened how often in all, the most frequent first."""
         totals: collections.Counter[str] = collections.Counter()
-        for (_, what, _), count in self.counts.items():
-            totals[what] += count
+        for (_, event_name, _), count in self.counts.items():
+            totals[event_name] += count
         return totals.most_common()
 
-    def _what(self, line: dict[str, Any]) -> str:
+    def _event_name(self, line: dict[str, Any]) -> str:
         """Return a name for what a line reports, empty for what is not counted."""
         kind, outcome = line["kind"], line.get("outcome", "")
         reason = str(line.get("reason", ""))
-        if kind in LOST:
+        if kind in LOSS_KINDS:
             return f"{kind} {reason}".strip()
-        if kind != "request" or outcome in REQUEST_STEPS:
+        if kind != "request" or outcome in INTERMEDIATE_OUTCOMES:
             return ""
         failed = outcome == "answered" and reason >= "500"
-        if outcome in SERVED and not failed:
+        if outcome in SERVED_OUTCOMES and not failed:
             return ""
         return f"{outcome} {reason}".strip()
 
@@ -71,7 +71,7 @@
 def configure(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments."""
     parser.add_argument(
-        "--by", choices=GROUPS, default="route", help="what to group by"
+        "--by", choices=GROUP_FIELDS, default="route", help="what to group by"
     )
     parser.add_argument(
         "files", nargs="*", help="logs of daemons, in any order; none: standard input"
@@ -80,21 +80,22 @@
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
     """Print what was refused, failed and lost, by second."""
-    reader = lines.Reader()
+    reader = lines.LogReader()
     summary = Summary(group=args.by)
-    read = 0
+    line_count = 0
     for line in reader.read(args.files):
-        read += 1
+        line_count += 1
         summary.add(line)
-    if not read:
+    if not line_count:
         return outcomes.BadInput(text="no line of a daemon's log")
     rows = summary.rows()
     text = [
-        f"{second}  {count:6}  {what}  {group}" for second, what, group, count in rows
+        f"{second}  {count:6}  {event_name}  {group}"
+        for second, event_name, group, count in rows
     ]
-    text += [f"in all  {count:6}  {what}" for what, count in summary.totals()]
+    text += [f"in all  {count:6}  {name}" for name, count in summary.totals()]
     text.append(
-        f"{read} lines read, {reader.unreadable} not readable; "
+        f"{line_count} lines read, {reader.unreadable} not readable; "
         f"{summary.left_out} were left out by daemons, so counts are the least"
     )
     data = {
--- a/ferrydeck/replay/case.py
+++ b/ferrydeck/replay/case.py
@@ -10,11 +10,11 @@
 from ferrydeck.config import findings, options
 
 NAME = options.Text(pattern=options.NAME_PATTERN)
-TIME = options.Number(low=0, high=86400)
+SECONDS = options.Number(low=0, high=86400)
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Boxes:
+class BoxGroup:
     """Some boxes of one service, spread over the data centres in turn."""
 
     service: str = options.option(NAME)
@@ -29,8 +29,8 @@
     kind: str = options.option(
         options.Choice(values=("slow", "demand", "platform-down", "cut"))
     )
-    at: float = options.option(TIME)
-    until: float = options.option(TIME)
+    at: float = options.option(SECONDS)
+    until: float = options.option(SECONDS)
     service: str = options.option(options.Text(pattern=r".*"), default="")
     data_centre: str = options.option(options.Text(pattern=r".*"), default="")
     factor: float = options.option(options.Number(low=0, high=1000), default=1.0)
@@ -41,13 +41,13 @@
     """What is replayed, and on what."""
 
     trace: str = options.option(options.Text())
-    seconds: float = options.option(TIME)
+    seconds: float = options.option(SECONDS)
     """How long the trace is played, over and over."""
     loop_s: float = options.option(options.Number(low=0.1, high=86400))
     """Length of one round of the trace."""
     data_centres: tuple[str, ...] = options.option(options.Items(item=NAME))
-    boxes: tuple[Boxes, ...] = options.option(
-        options.Items(item=options.Section(cls=Boxes))
+    boxes: tuple[BoxGroup, ...] = options.option(
+        options.Items(item=options.Section(cls=BoxGroup))
     )
     faults: tuple[Fault, ...] = options.option(
         options.Items(item=options.Section(cls=Fault)), default=()
@@ -59,7 +59,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Line:
+class TraceLine:
     """One request of the trace."""
 
     t: float
@@ -76,7 +76,7 @@
     return options.read_file(Case, path)
 
 
-def load_trace(path: str) -> list[Line] | findings.Rejected:
+def load_trace(path: str) -> list[TraceLine] | findings.Rejected:
     """Read a trace: one JSON object a line."""
     report = findings.Report(file=path)
     lines = []
@@ -87,7 +87,7 @@
         return findings.Rejected(findings=tuple(report.findings))
     for number, line in enumerate(text.splitlines(), 1):
         try:
-            lines.append(Line(**json.loads(line)))
+            lines.append(TraceLine(**json.loads(line)))
         except (ValueError, TypeError) as exc:
             report.add(f"line {number}", str(exc))
     if not report.clean:
--- a/ferrydeck/replay/ideal.py
+++ b/ferrydeck/replay/ideal.py
@@ -11,14 +11,14 @@
 EPSILON = 1e-9
 
 
-def work_of(path: str) -> list[tuple[str, float]]:
+def service_times(path: str) -> list[tuple[str, float]]:
     """Return the service and the seconds of a call and of all that it calls."""
     service, _, rest = path[1:].partition("/")
     query = dict(urllib.parse.parse_qsl(rest.partition("?")[2]))
-    work = [(service, float(query.get("ms", "5")) / 1000)]
+    times = [(service, float(query.get("ms", "5")) / 1000)]
     for nested in filter(None, query.get("call", "").split(",")):
-        work += work_of(urllib.parse.unquote(nested))
-    return work
+        times += service_times(urllib.parse.unquote(nested))
+    return times
 
 
 def slowdown(case: cases.Case, service: str, at: float) -> float:
@@ -30,22 +30,22 @@
     return 1.0
 
 
-def holding(case: cases.Case, path: str, at: float) -> dict[str, float]:
+def slot_seconds(case: cases.Case, path: str, at: float) -> dict[str, float]:
     """Return how long a request holds a slot of each service, seconds.
 
     A service holds its slot while the calls that it makes are served.
     """
     service, _, rest = path[1:].partition("/")
     query = dict(urllib.parse.parse_qsl(rest.partition("?")[2]))
-    own = float(query.get("ms", "5")) / 1000 * slowdown(case, service, at)
+    own_s = float(query.get("ms", "5")) / 1000 * slowdown(case, service, at)
     held: dict[str, float] = collections.defaultdict(float)
     for nested in filter(None, query.get("call", "").split(",")):
-        below = holding(case, urllib.parse.unquote(nested), at)
-        first = urllib.parse.unquote(nested)[1:].partition("/")[0]
-        own += below[first]
-        for name, seconds in below.items():
+        nested_seconds = slot_seconds(case, urllib.parse.unquote(nested), at)
+        nested_service = urllib.parse.unquote(nested)[1:].partition("/")[0]
+        own_s += nested_seconds[nested_service]
+        for name, seconds in nested_seconds.items():
             held[name] += seconds
-    held[service] += own
+    held[service] += own_s
     return held
 
 
@@ -61,57 +61,61 @@
     Ranks are filled in their order; within one, all kinds grow alike until a
     service that they need is full.
     """
-    room = collections.defaultdict(float)
+    capacity = collections.defaultdict(float)
     for group in case.boxes:
-        room[group.service] += group.count * group.slots * scale * seconds
+        capacity[group.service] += group.count * group.slots * scale * seconds
     total = 0.0
     for rank in sorted(set(ranks.values())):
-        mine = [one for one in requests if ranks[one.line.class_name] == rank]
-        total += fill(case, mine, room)
+        requests_of_rank = [
+            one for one in requests if ranks[one.line.class_name] == rank
+        ]
+        total += allocate(case, requests_of_rank, capacity)
     return total / seconds
 
 
-def fill(case: cases.Case, requests: list[Any], room: dict[str, float]) -> float:
+def allocate(
+    case: cases.Case, requests: list[Any], capacity: dict[str, float]
+) -> float:
     """Serve as much of one rank as the room allows; return how many requests."""
-    kinds = collections.defaultdict(lambda: collections.defaultdict(float))
+    demand = collections.defaultdict(lambda: collections.defaultdict(float))
     counts: collections.Counter[frozenset[str]] = collections.Counter()
     begins = min((one.at for one in case.faults), default=0.0)
     for request in requests:
-        held = holding(case, request.line.path, begins)
-        kind = frozenset(held)
-        counts[kind] += 1
+        held = slot_seconds(case, request.line.path, begins)
+        services = frozenset(held)
+        counts[services] += 1
         for service, seconds in held.items():
-            kinds[kind][service] += seconds
-    served = dict.fromkeys(kinds, 0.0)
-    growing = set(kinds)
-    while growing:
-        step = largest_step(kinds, growing, served, room)
-        for kind in growing:
-            served[kind] += step
-            for service, seconds in kinds[kind].items():
-                room[service] -= step * seconds
-        growing = {
-            kind
-            for kind in growing
-            if served[kind] < 1 - EPSILON
-            and all(room[service] > EPSILON for service in kinds[kind])
+            demand[services][service] += seconds
+    shares = dict.fromkeys(demand, 0.0)
+    unsaturated = set(demand)
+    while unsaturated:
+        increment = largest_step(demand, unsaturated, shares, capacity)
+        for services in unsaturated:
+            shares[services] += increment
+            for service, seconds in demand[services].items():
+                capacity[service] -= increment * seconds
+        unsaturated = {
+            services
+            for services in unsaturated
+            if shares[services] < 1 - EPSILON
+            and all(capacity[service] > EPSILON for service in demand[services])
         }
-    return sum(served[kind] * counts[kind] for kind in kinds)
+    return sum(shares[services] * counts[services] for services in demand)
 
 
 def largest_step(
-    kinds: dict[frozenset[str], dict[str, float]],
-    growing: set[frozenset[str]],
-    served: dict[frozenset[str], float],
-    room: dict[str, float],
+    demand: dict[frozenset[str], dict[str, float]],
+    unsaturated: set[frozenset[str]],
+    shares: dict[frozenset[str], float],
+    capacity: dict[str, float],
 ) -> float:
     """Return how far all growing kinds can grow before one is done or a room full."""
-    step = min(1 - served[kind] for kind in growing)
-    needs: dict[str, float] = collections.defaultdict(float)
-    for kind in growing:
-        for service, seconds in kinds[kind].items():
-            needs[service] += seconds
-    for service, seconds in needs.items():
+    increment = min(1 - shares[services] for services in unsaturated)
+    needed_s: dict[str, float] = collections.defaultdict(float)
+    for services in unsaturated:
+        for service, seconds in demand[services].items():
+            needed_s[service] += seconds
+    for service, seconds in needed_s.items():
         if seconds > EPSILON:
-            step = min(step, room[service] / seconds)
-    return max(0.0, step)
+            increment = min(increment, capacity[service] / seconds)
+    return max(0.0, increment)
--- a/ferrydeck/replay/player.py
+++ b/ferrydeck/replay/player.py
@@ -15,17 +15,17 @@
 SETTLE_S = 2.0
 """Time in which the boxes find each other before the load begins, seconds."""
 DRAIN_S = 12.0
-JITTER_S = 1.0
-BUCKET_S = 0.5
-HELD_S = 2.0
-RECOVERED = 0.95
+MAX_JITTER_S = 1.0
+BUCKET_WIDTH_S = 0.5
+RECOVERY_HOLD_S = 2.0
+RECOVERY_RATIO = 0.95
 
 
 @attrs.define(kw_only=True, eq=False)
 class Request:
     """One request of a caller, with all its sendings."""
 
-    line: cases.Line
+    line: cases.TraceLine
     began: float
     key: str
     sendings: int = 0
@@ -70,7 +70,7 @@
         self,
         *,
         case: cases.Case,
-        trace: list[cases.Line],
+        trace: list[cases.TraceLine],
         bundle: bundles.Bundle,
         policy: policies.Policy,
         seed: int,
@@ -91,9 +91,9 @@
         self.world.run(SETTLE_S)
         start = self.world.env.now
         for fault in self.case.faults:
-            self._plan_fault(fault, start)
+            self._schedule_fault(fault, start)
         for line in self.trace:
-            self._plan_line(line, start)
+            self._schedule_line(line, start)
         self.world.run(self.case.seconds + DRAIN_S)
         return self._measure(start)
 
@@ -115,9 +115,9 @@
                     slots=group.slots * self.scale,
                 )
 
-    def _plan_fault(self, fault: cases.Fault, start: float) -> None:
-        self._at(start + fault.at, lambda: self._set_fault(fault, True))
-        self._at(start + fault.until, lambda: self._set_fault(fault, False))
+    def _schedule_fault(self, fault: cases.Fault, start: float) -> None:
+        self._call_at(start + fault.at, lambda: self._set_fault(fault, True))
+        self._call_at(start + fault.until, lambda: self._set_fault(fault, False))
 
     def _set_fault(self, fault: cases.Fault, on: bool) -> None:
         faults = self.world.faults
@@ -134,18 +134,20 @@
                 faults.partitions = pairs if on else set()
                 faults.partitioned_from_platform = {fault.data_centre} if on else set()
 
-    def _plan_line(self, line: cases.Line, start: float) -> None:
+    def _schedule_line(self, line: cases.TraceLine, start: float) -> None:
         rounds = int(self.case.seconds / self.case.loop_s)
         for number in range(rounds):
             at = number * self.case.loop_s + line.t
             for copy in range(self._copies(at)):
                 key = f"{line.key}-{number}-{copy}" if line.key else ""
-                begins = start + at + self._offset(copy)
-                self._at(begins, lambda key=key, line=line: self._send_first(line, key))
+                begin = start + at + self._jitter(copy)
+                self._call_at(
+                    begin, lambda key=key, line=line: self._start_request(line, key)
+                )
 
-    def _offset(self, copy: int) -> float:
+    def _jitter(self, copy: int) -> float:
         """Return how long after its line a copy is sent, so that none come together."""
-        return self.rng.uniform(0, JITTER_S) if copy else 0.0
+        return self.rng.uniform(0, MAX_JITTER_S) if copy else 0.0
 
     def _copies(self, at: float) -> int:
         """Return how often a line is sent: more while demand is up.
@@ -154,11 +156,11 @@
         """
         for fault in self.case.faults:
             if fault.kind == "demand" and fault.at <= at < fault.until:
-                wanted = fault.factor * self.scale
-                return int(wanted) + (self.rng.random() < wanted % 1)
+                multiplier = fault.factor * self.scale
+                return int(multiplier) + (self.rng.random() < multiplier % 1)
         return self.scale
 
-    def _send_first(self, line: cases.Line, key: str) -> None:
+    def _start_request(self, line: cases.TraceLine, key: str) -> None:
         request = Request(line=line, began=self.world.env.now, key=key)
         self.requests.append(request)
         self._send(request)
@@ -174,36 +176,38 @@
             key=request.key,
             deadline_ms=line.deadline_ms,
             body=request.key.encode(),
-            then=lambda answer: self._told(request, answer),
+            on_answer=lambda answer: self._on_answer(request, answer),
         )
 
-    def _told(self, request: Request, answer: effects.AnswerCaller) -> None:
+    def _on_answer(self, request: Request, answer: effects.AnswerCaller) -> None:
         now = self.world.env.now
-        within = now <= request.began + request.line.deadline_ms / 1000
+        in_time = now <= request.began + request.line.deadline_ms / 1000
         if answer.status == 200:
-            request.whole = within
+            request.whole = in_time
             return
-        if within and request.sendings <= self.case.resends:
-            self._at(now, lambda: self._send(request))
+        if in_time and request.sendings <= self.case.resends:
+            self._call_at(now, lambda: self._send(request))
 
-    def _at(self, when: float, action: object) -> None:
+    def _call_at(self, when: float, action: object) -> None:
         delay_s = max(0.0, when - self.world.env.now)
         self.world.env.timeout(delay_s).callbacks.append(lambda _: action())
 
     def _measure(self, start: float) -> Result:
-        begins, ends = self._fault_span()
-        in_fault = [one for one in self.requests if begins <= one.began - start < ends]
-        goodput = sum(one.whole for one in in_fault) / (ends - begins)
-        best = ideal.goodput(self.case, in_fault, self.ranks, ends - begins, self.scale)
+        begin, end = self._fault_span()
+        in_fault = [one for one in self.requests if begin <= one.began - start < end]
+        goodput = sum(one.whole for one in in_fault) / (end - begin)
+        ideal_goodput = ideal.goodput(
+            self.case, in_fault, self.ranks, end - begin, self.scale
+        )
         top = [one for one in in_fault if self.ranks[one.line.class_name] == 0]
         return Result(
             classes=self._by_class(in_fault),
             goodput=round(goodput, 2),
-            ideal=round(best, 2),
-            goodput_share=round(goodput / best, 4) if best else 0.0,
+            ideal=round(ideal_goodput, 2),
+            goodput_share=round(goodput / ideal_goodput, 4) if ideal_goodput else 0.0,
             wasted=round(self._wasted(start), 4),
             attempts=round(self._attempts(), 4),
-            recovery_s=self._recovery(start, ends),
+            recovery_s=self._recovery(start, end),
             top_refused=sum(not one.whole for one in top),
         )
 
@@ -216,22 +220,22 @@
     def _by_class(self, in_fault: list[Request]) -> tuple[ClassResult, ...]:
         results = []
         for name in sorted({one.line.class_name for one in self.requests}):
-            mine = [one for one in self.requests if one.line.class_name == name]
-            hit = [one for one in in_fault if one.line.class_name == name]
+            matching = [one for one in self.requests if one.line.class_name == name]
+            during = [one for one in in_fault if one.line.class_name == name]
             results.append(
                 ClassResult(
                     class_name=name,
-                    sent=len(mine),
-                    whole=sum(one.whole for one in mine),
-                    in_fault_sent=len(hit),
-                    in_fault_whole=sum(one.whole for one in hit),
+                    sent=len(matching),
+                    whole=sum(one.whole for one in matching),
+                    in_fault_sent=len(during),
+                    in_fault_whole=sum(one.whole for one in during),
                 )
             )
         return tuple(results)
 
     def _wasted(self, start: float) -> float:
         worked = sum(
-            box.target.worked_s for box in self.world.boxes.values() if box.target
+            box.target.busy_s for box in self.world.boxes.values() if box.target
         )
         useful = 0.0
         for request in self.requests:
@@ -239,7 +243,7 @@
                 at = request.began - start
                 useful += sum(
                     seconds * ideal.slowdown(self.case, service, at)
-                    for service, seconds in ideal.work_of(request.line.path)
+                    for service, seconds in ideal.service_times(request.line.path)
                 )
         return max(0.0, 1 - useful / worked) if worked else 0.0
 
@@ -250,18 +254,18 @@
             forwarded += finished.attempts > 0
         return attempts / forwarded if forwarded else 0.0
 
-    def _recovery(self, start: float, ends: float) -> float:
+    def _recovery(self, start: float, end: float) -> float:
         """Return when goodput is back, by the time at which requests began."""
         sent: collections.Counter[int] = collections.Counter()
         whole: collections.Counter[int] = collections.Counter()
         for request in self.requests:
-            bucket = int((request.began - start) / BUCKET_S)
+            bucket = int((request.began - start) / BUCKET_WIDTH_S)
             sent[bucket] += 1
             whole[bucket] += request.whole
-        first, last = int(ends / BUCKET_S), int(self.case.seconds / BUCKET_S)
-        held = int(HELD_S / BUCKET_S)
-        for bucket in range(first, last - held + 1):
-            span = range(bucket, bucket + held)
-            if all(whole[one] >= RECOVERED * sent[one] for one in span):
-                return (bucket - first) * BUCKET_S
+        first, last = int(end / BUCKET_WIDTH_S), int(self.case.seconds / BUCKET_WIDTH_S)
+        hold = int(RECOVERY_HOLD_S / BUCKET_WIDTH_S)
+        for bucket in range(first, last - hold + 1):
+            span = range(bucket, bucket + hold)
+            if all(whole[one] >= RECOVERY_RATIO * sent[one] for one in span):
+                return (bucket - first) * BUCKET_WIDTH_S
         return float("inf")
--- a/ferrydeck/replay/targets.py
+++ b/ferrydeck/replay/targets.py
@@ -26,13 +26,13 @@
     """A dispatch on its way through the target."""
 
     dispatch: effects.DispatchTarget
-    seconds: float
+    service_s: float
     nested: list[str]
     status: int
-    again: int
-    tries: int = 0
+    max_retries: int
+    attempts: int = 0
     running: bool = False
-    ended: bool = False
+    finished: bool = False
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -46,42 +46,42 @@
 
     env: simpy.Environment
     slots: int
-    feed: object
-    call: object
+    emit: object
+    call_daemon: object
     """Makes a call through the box's own daemon, for the service on it."""
     slowdown: float = 1.0
     running: int = 0
-    worked_s: float = 0.0
+    busy_s: float = 0.0
     waiting: collections.deque[Work] = attrs.Factory(collections.deque)
-    works: dict[int, Work] = attrs.Factory(dict)
-    log: list[Effect] = attrs.Factory(list)
+    active: dict[int, Work] = attrs.Factory(dict)
+    executions: list[Effect] = attrs.Factory(list)
 
-    def dispatch(self, asked: effects.DispatchTarget) -> None:
+    def dispatch(self, request: effects.DispatchTarget) -> None:
         """Take a dispatch."""
-        query = dict(urllib.parse.parse_qsl(asked.path.partition("?")[2]))
+        query = dict(urllib.parse.parse_qsl(request.path.partition("?")[2]))
         nested = query.get("call", "")
         work = Work(
-            dispatch=asked,
-            seconds=float(query.get("ms", "5")) / 1000,
+            dispatch=request,
+            service_s=float(query.get("ms", "5")) / 1000,
             nested=nested.split(",") if nested else [],
             status=int(query.get("status", "200")),
-            again=int(query.get("again", "0")),
+            max_retries=int(query.get("again", "0")),
         )
-        self.works[asked.dispatch] = work
+        self.active[request.dispatch] = work
         self.waiting.append(work)
-        self._after(asked.timeout_s, lambda: self._time_out(work))
-        self._fill()
+        self._call_later(request.timeout_s, lambda: self._time_out(work))
+        self._start_waiting()
 
     def cancel(self, dispatch: int) -> None:
         """Stop a dispatch."""
-        work = self.works.get(dispatch)
+        work = self.active.get(dispatch)
         if work is not None:
             self._end(work)
 
-    def _fill(self) -> None:
+    def _start_waiting(self) -> None:
         while self.waiting and self.running < self.slots:
             work = self.waiting.popleft()
-            if not work.ended:
+            if not work.finished:
                 self._start(work)
 
     def _start(self, work: Work) -> None:
@@ -89,40 +89,42 @@
         self.running += 1
         key = headers.get(work.dispatch.headers, headers.IDEMPOTENCY_KEY)
         effect = Effect(key=key, path=work.dispatch.path, at=self.env.now)
-        self.log.append(effect)
-        seconds = work.seconds * self.slowdown
-        self.worked_s += seconds
-        self._after(seconds, lambda: self._nested(work))
+        self.executions.append(effect)
+        service_s = work.service_s * self.slowdown
+        self.busy_s += service_s
+        self._call_later(service_s, lambda: self._run_nested_calls(work))
 
-    def _nested(self, work: Work) -> None:
-        if work.ended:
+    def _run_nested_calls(self, work: Work) -> None:
+        if work.finished:
             return
         if not work.nested:
             self._answer(work, work.status)
             return
         path = urllib.parse.unquote(work.nested[0])
-        work.tries += 1
+        work.attempts += 1
         token = headers.get(work.dispatch.headers, headers.CONTEXT)
-        self.call(path, token, lambda answer: self._nested_answered(work, answer))
+        self.call_daemon(
+            path, token, lambda answer: self._on_nested_answer(work, answer)
+        )
 
-    def _nested_answered(self, work: Work, answer: effects.AnswerCaller) -> None:
-        if work.ended:
+    def _on_nested_answer(self, work: Work, answer: effects.AnswerCaller) -> None:
+        if work.finished:
             return
-        if answer.status == 200 or work.tries > work.again:
+        if answer.status == 200 or work.attempts > work.max_retries:
             work.nested.pop(0)
-            work.tries = 0
-        if answer.status == 200 or work.tries:
-            self._nested(work)
+            work.attempts = 0
+        if answer.status == 200 or work.attempts:
+            self._run_nested_calls(work)
             return
         self._answer(work, 502)
 
     def _answer(self, work: Work, status: int) -> None:
-        if work.ended:
+        if work.finished:
             return
         self._end(work)
         key = headers.get(work.dispatch.headers, headers.IDEMPOTENCY_KEY)
         body = f"{work.dispatch.path} {key}".encode()
-        self.feed(
+        self.emit(
             events.TargetHead(
                 dispatch=work.dispatch.dispatch,
                 status=status,
@@ -133,10 +135,10 @@
         )
 
     def _time_out(self, work: Work) -> None:
-        if work.ended:
+        if work.finished:
             return
         self._end(work)
-        self.feed(
+        self.emit(
             events.TargetFailed(
                 dispatch=work.dispatch.dispatch,
                 sent=True,
@@ -145,13 +147,13 @@
         )
 
     def _end(self, work: Work) -> None:
-        if work.ended:
+        if work.finished:
             return
-        work.ended = True
-        self.works.pop(work.dispatch.dispatch, None)
+        work.finished = True
+        self.active.pop(work.dispatch.dispatch, None)
         if work.running:
             self.running -= 1
-        self._fill()
+        self._start_waiting()
 
-    def _after(self, delay_s: float, action: object) -> None:
+    def _call_later(self, delay_s: float, action: object) -> None:
         self.env.timeout(delay_s).callbacks.append(lambda _: action())
--- a/ferrydeck/replay/world.py
+++ b/ferrydeck/replay/world.py
@@ -68,7 +68,7 @@
     alive: bool = True
     frozen: bool = False
     queued_events: list[events.Event] = attrs.Factory(list)
-    wake_at: float = float("inf")
+    timer_at: float = float("inf")
     stopped: bool = False
     audit: list[effects.Audit] = attrs.Factory(list)
 
@@ -112,8 +112,8 @@
         self.observer: Callable[[str, events.Event, list], None] | None = None
         self.finished_calls: list[effects.CallFinished] = []
         self.killed_boxes: list[Box] = []
-        self._conns = itertools.count(1)
-        self._incarnations = itertools.count(1)
+        self._connection_ids = itertools.count(1)
+        self._incarnation_ids = itertools.count(1)
         self._verified: signing.Verified | None = None
 
     def activate_bundle(self, bundle: bundles.Bundle) -> None:
@@ -124,7 +124,7 @@
             signed=signed, bundle=bundle, raw=signing.encode(signed), signers=("test",)
         )
         for box in self.boxes.values():
-            self._carry_out(box, box.core.activate(self._now(box), self._verified))
+            self._apply_all(box, box.core.activate(self._now(box), self._verified))
 
     def add_box(
         self, name: str, data_centre: str, *, service: str = "", slots: int = 0
@@ -136,7 +136,7 @@
             identity=context.Identity(
                 cluster=CLUSTER,
                 box=name,
-                incarnation=next(self._incarnations),
+                incarnation=next(self._incarnation_ids),
                 address=address,
                 call_address=address,
                 data_centre=data_centre,
@@ -146,8 +146,8 @@
             seeds=tuple(f"{one}:1" for one in list(self.boxes)[:4]),
             policy=self.policy,
         )
-        before = self.boxes.get(name)
-        target = before.target if before else None
+        previous = self.boxes.get(name)
+        target = previous.target if previous else None
         if service and target is None:
             target = self._make_target(name, slots)
         box = Box(
@@ -158,9 +158,9 @@
             clock_offset=self.rng.uniform(0, 1000),
         )
         self.boxes[name] = box
-        self._carry_out(box, core.start(self._now(box)))
+        self._apply_all(box, core.start(self._now(box)))
         if self._verified is not None:
-            self._carry_out(box, core.activate(self._now(box), self._verified))
+            self._apply_all(box, core.activate(self._now(box), self._verified))
         return box
 
     def run(self, seconds: float) -> None:
@@ -188,9 +188,9 @@
         """Have a daemon go on, with all that came in meanwhile."""
         box = self.boxes[name]
         box.frozen = False
-        held, box.queued_events = box.queued_events, []
+        queued, box.queued_events = box.queued_events, []
         self.handle_event(box, events.Wake())
-        for event in held:
+        for event in queued:
             self.handle_event(box, event)
 
     def stop(self, name: str) -> None:
@@ -208,7 +208,7 @@
         body: bytes = b"",
         token: str = "",
         local: bool = False,
-        then: Callable[[effects.AnswerCaller], None] | None = None,
+        on_answer: Callable[[effects.AnswerCaller], None] | None = None,
     ) -> ClientCall:
         """Send a call of a caller through an entry box."""
         fields = []
@@ -219,13 +219,13 @@
             fields.append(messages.Header(name=name, value=str(deadline_ms)))
         if token:
             fields.append(messages.Header(name="ferrydeck-context", value=token))
-        conn = next(self._conns)
-        sent = ClientCall(entry=entry, path=path, key=key, started_at=self.env.now)
+        conn = next(self._connection_ids)
+        call = ClientCall(entry=entry, path=path, key=key, started_at=self.env.now)
         if not local:
-            self.calls.append(sent)
-        self.open_calls[entry, conn] = sent
-        if then is not None:
-            self.answer_callbacks[entry, conn] = then
+            self.calls.append(call)
+        self.open_calls[entry, conn] = call
+        if on_answer is not None:
+            self.answer_callbacks[entry, conn] = on_answer
         event = events.CallReceived(
             conn=conn,
             local=local,
@@ -235,12 +235,14 @@
             body=body,
         )
         self.handle_event(self.boxes[entry], event)
-        return sent
+        return call
 
     def effects(self) -> list[targets.Effect]:
         """Return what all targets have started."""
-        found = [box.target.log for box in self.boxes.values() if box.target]
-        return sorted(itertools.chain(*found), key=lambda one: one.at)
+        executions = [
+            box.target.executions for box in self.boxes.values() if box.target
+        ]
+        return sorted(itertools.chain(*executions), key=lambda one: one.at)
 
     def handle_event(self, box: Box, event: events.Event) -> None:
         """Give a box's core an event, or hold it while the box stands still."""
@@ -249,94 +251,94 @@
         if box.frozen:
             box.queued_events.append(event)
             return
-        asked = box.core.handle(self._now(box), event)
+        produced = box.core.handle(self._now(box), event)
         if self.observer is not None:
-            self.observer(box.name, event, asked)
-        self._carry_out(box, asked)
+            self.observer(box.name, event, produced)
+        self._apply_all(box, produced)
 
     def _make_target(self, name: str, slots: int) -> targets.FakeTarget:
         return targets.FakeTarget(
             env=self.env,
             slots=slots,
-            feed=lambda event: self.handle_event(self.boxes[name], event),
-            call=lambda path, token, then: self.call(
-                name, "GET", path, token=token, local=True, then=then
+            emit=lambda event: self.handle_event(self.boxes[name], event),
+            call_daemon=lambda path, token, on_answer: self.call(
+                name, "GET", path, token=token, local=True, on_answer=on_answer
             ),
         )
 
     def _now(self, box: Box) -> float:
         return self.env.now + box.clock_offset
 
-    def _after(self, delay_s: float, action: Callable[[], None]) -> None:
+    def _call_later(self, delay_s: float, action: Callable[[], None]) -> None:
         self.env.timeout(delay_s).callbacks.append(lambda _: action())
 
-    def _carry_out(self, box: Box, asked: list[effects.Effect]) -> None:
-        for effect in asked:
-            self._do(box, effect)
-        self._plan_wake(box)
+    def _apply_all(self, box: Box, produced: list[effects.Effect]) -> None:
+        for effect in produced:
+            self._apply(box, effect)
+        self._schedule_timer(box)
 
-    def _plan_wake(self, box: Box) -> None:
+    def _schedule_timer(self, box: Box) -> None:
         wake = box.core.next_wake()
-        if wake is None or wake >= box.wake_at:
+        if wake is None or wake >= box.timer_at:
             return
-        box.wake_at = wake
+        box.timer_at = wake
         delay_s = max(0.0, wake - self._now(box))
-        self._after(delay_s, lambda: self._wake(box, wake))
+        self._call_later(delay_s, lambda: self._fire_timer(box, wake))
 
-    def _wake(self, box: Box, wake: float) -> None:
-        if box.wake_at != wake:
+    def _fire_timer(self, box: Box, wake: float) -> None:
+        if box.timer_at != wake:
             return
-        box.wake_at = float("inf")
+        box.timer_at = float("inf")
         if box.frozen:
             return
         self.handle_event(box, events.Wake())
 
-    def _do(self, box: Box, effect: effects.Effect) -> None:
+    def _apply(self, box: Box, effect: effects.Effect) -> None:
         match effect:
             case effects.SendPeer():
-                self._send(box, effect)
+                self._send_message(box, effect)
             case effects.AnswerCaller(conn=conn):
-                self._answer(box, conn, effect)
+                self._answer_caller(box, conn, effect)
             case effects.CallFinished(conn=conn):
                 self.finished_calls.append(effect)
-                sent = self.open_calls.pop((box.name, conn), None)
-                if sent is not None:
-                    sent.finished = effect
+                call = self.open_calls.pop((box.name, conn), None)
+                if call is not None:
+                    call.finished = effect
             case effects.DispatchTarget():
                 box.target.dispatch(effect)
             case effects.CancelTarget(dispatch=dispatch):
                 box.target.cancel(dispatch)
             case effects.AskPlatform(request=request):
-                self._ask_platform(box, request)
+                self._call_platform(box, request)
             case effects.Audit():
                 box.audit.append(effect)
             case effects.Ended():
                 box.stopped = True
 
-    def _answer(self, box: Box, conn: int, effect: effects.AnswerCaller) -> None:
-        sent = self.open_calls.get((box.name, conn))
-        if sent is None:
+    def _answer_caller(self, box: Box, conn: int, effect: effects.AnswerCaller) -> None:
+        call = self.open_calls.get((box.name, conn))
+        if call is None:
             return
-        sent.answer = effect
-        sent.answered_at = self.env.now
-        then = self.answer_callbacks.pop((box.name, conn), None)
-        if then is not None:
-            then(effect)
+        call.answer = effect
+        call.answered_at = self.env.now
+        on_answer = self.answer_callbacks.pop((box.name, conn), None)
+        if on_answer is not None:
+            on_answer(effect)
 
-    def _send(self, box: Box, effect: effects.SendPeer) -> None:
+    def _send_message(self, box: Box, effect: effects.SendPeer) -> None:
         """Carry a message to another box, as far as the faults let it."""
         receiver = self.boxes.get(self.names_by_address.get(effect.address, ""))
         if receiver is None or not receiver.alive or receiver.stopped:
             return
-        between = frozenset((box.data_centre, receiver.data_centre))
+        data_centres = frozenset((box.data_centre, receiver.data_centre))
         if (
-            between in self.faults.partitions
+            data_centres in self.faults.partitions
             or self.rng.random() < self.faults.loss_ratio
         ):
             return
         delay = self.faults.extra_delay
-        held_s = delay(box.name, effect.message) if delay else 0.0
-        if held_s < 0:
+        extra_s = delay(box.name, effect.message) if delay else 0.0
+        if extra_s < 0:
             return
         envelope = messages.Envelope(
             protocol=messages.PROTOCOL,
@@ -352,48 +354,48 @@
         )
         received = codec.Received(envelope=envelope, message=effect.message)
         event = events.PeerReceived(received=received)
-        times = 2 if self.rng.random() < self.faults.duplicate_ratio else 1
-        for _ in range(times):
-            transit_s = self._transit(between) + held_s
-            self._after(transit_s, lambda: self._deliver(receiver.name, event))
+        copies = 2 if self.rng.random() < self.faults.duplicate_ratio else 1
+        for _ in range(copies):
+            latency_s = self._latency(data_centres) + extra_s
+            self._call_later(latency_s, lambda: self._deliver(receiver.name, event))
 
     def _deliver(self, name: str, event: events.Event) -> None:
         self.handle_event(self.boxes[name], event)
 
-    def _transit(self, between: frozenset[str]) -> float:
-        transit = LOCAL_LATENCY_S if len(between) == 1 else REMOTE_LATENCY_S
+    def _latency(self, data_centres: frozenset[str]) -> float:
+        latency = LOCAL_LATENCY_S if len(data_centres) == 1 else REMOTE_LATENCY_S
         if self.rng.random() < self.faults.delay_ratio:
-            transit += self.rng.uniform(0, self.faults.max_delay_s)
-        return transit
+            latency += self.rng.uniform(0, self.faults.max_delay_s)
+        return latency
 
-    def _ask_platform(self, box: Box, request: platform.Request) -> None:
+    def _call_platform(self, box: Box, request: platform.Request) -> None:
         faults = self.faults
         if faults.platform_down or box.data_centre in faults.partitioned_from_platform:
-            self._after(PLATFORM_TIMEOUT_S, lambda: self._no_answer(box, request))
+            self._call_later(PLATFORM_TIMEOUT_S, lambda: self._time_out(box, request))
             return
         if isinstance(request, platform.Watch):
-            self._watch(box, request, self.env.now + request.wait_s)
+            self._poll_watch(box, request, self.env.now + request.wait_s)
             return
         delay_s = PLATFORM_LATENCY_S + faults.platform_slow_s * self.rng.random()
-        self._after(delay_s, lambda: self._serve_platform(box, request))
+        self._call_later(delay_s, lambda: self._execute_on_platform(box, request))
 
-    def _watch(self, box: Box, request: platform.Watch, ends: float) -> None:
+    def _poll_watch(self, box: Box, request: platform.Watch, deadline: float) -> None:
         """Look at a watched key from time to time."""
         changed = self.store.version(request.key) != request.after_version
-        if changed or self.env.now >= ends:
-            self._serve_platform(box, request)
+        if changed or self.env.now >= deadline:
+            self._execute_on_platform(box, request)
             return
-        self._after(0.1, lambda: self._watch(box, request, ends))
+        self._call_later(0.1, lambda: self._poll_watch(box, request, deadline))
 
-    def _serve_platform(self, box: Box, request: platform.Request) -> None:
+    def _execute_on_platform(self, box: Box, request: platform.Request) -> None:
         result = self.store.apply(self.env.now, request)
         if isinstance(result, platform.Written) and self.faults.lost_responses:
             self.faults.lost_responses -= 1
-            self._after(PLATFORM_TIMEOUT_S, lambda: self._no_answer(box, request))
+            self._call_later(PLATFORM_TIMEOUT_S, lambda: self._time_out(box, request))
             return
         answered = events.PlatformAnswered(request=request, result=result)
-        self._after(PLATFORM_LATENCY_S, lambda: self.handle_event(box, answered))
+        self._call_later(PLATFORM_LATENCY_S, lambda: self.handle_event(box, answered))
 
-    def _no_answer(self, box: Box, request: platform.Request) -> None:
+    def _time_out(self, box: Box, request: platform.Request) -> None:
         result = platform.NoAnswer(detail="no answer")
         self.handle_event(box, events.PlatformAnswered(request=request, result=result))
--- a/ferrydeck/standins/app_server.py
+++ b/ferrydeck/standins/app_server.py
@@ -20,7 +20,7 @@
 CRASH_EXIT_CODE = 70
 
 
-class Mood(enum.StrEnum):
+class FaultMode(enum.StrEnum):
     """How the server behaves."""
 
     WELL = "well"
@@ -35,7 +35,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Ran:
+class Execution:
     """A request that the server ran."""
 
     request_id: str
@@ -60,61 +60,61 @@
         reports: str,
         slots: int = 8,
         work_s: float = 0.002,
-        report_every_s: float = 0.3,
+        report_interval_s: float = 0.3,
     ) -> None:
         super().__init__(ip=ip, ports=[port])
         self.address = f"{ip}:{port}"
         self.instance = instance
-        self.born = clock.wall_ns() // 1_000_000
+        self.started_at_ms = clock.wall_ns() // 1_000_000
         self.service = service
         self.zone = zone
         self.reports = reports
         self.slots = slots
         self.work_s = work_s
-        self.report_every_s = report_every_s
-        self.mood = Mood.WELL
+        self.report_interval_s = report_interval_s
+        self.fault_mode = FaultMode.WELL
         self.leaving = False
         self.sequence = 0
-        self.at_work = 0
-        self.ran: list[Ran] = []
-        self.left: set[int] = set()
+        self.running = 0
+        self.executions: list[Execution] = []
+        self.disconnected: set[int] = set()
         """Calls whose callers have gone."""
-        self.after(0.0, self._report)
+        self.call_later(0.0, self._report)
 
-    def asked(self, req: loop.Asked) -> None:
+    def handle_request(self, req: loop.Request) -> None:
         """Serve a request, a health check, or whoever controls the stand-in."""
         fields = {one.name: one.value for one in req.headers}
         if req.path.startswith("/standin/"):
-            self._controlled(req)
+            self._handle_control(req)
         elif req.path == "/healthz":
             self._answer(req, 503 if self.leaving else 200, fields, b"")
         else:
-            self._request(req, fields)
+            self._handle_app_request(req, fields)
 
-    def _controlled(self, req: loop.Asked) -> None:
+    def _handle_control(self, req: loop.Request) -> None:
         match req.path:
             case "/standin/mood":
-                self.mood = Mood(req.body.decode())
+                self.fault_mode = FaultMode(req.body.decode())
             case "/standin/drain":
                 self.leaving = True
-                acked = self._call("PUT", self._body("draining"))
+                acked = self._send_report("PUT", self._report_body("draining"))
                 self.answer(req.call, 200, {"acked": acked})
                 return
             case "/standin/work":
                 self.work_s = float(req.body)
-        ran = [one.request_id for one in self.ran]
-        self.answer(req.call, 200, {"ran": ran, "running": self.at_work})
+        ran = [one.request_id for one in self.executions]
+        self.answer(req.call, 200, {"ran": ran, "running": self.running})
 
-    def _request(self, req: loop.Asked, fields: dict[str, str]) -> None:
+    def _handle_app_request(self, req: loop.Request, fields: dict[str, str]) -> None:
         expected = fields.get("x-expect-instance", self.instance)
         if expected != self.instance:
             self._answer(req, 421, fields, b"", not_run=True)
             return
-        if self.at_work >= self.slots or self.mood is Mood.SHED:
+        if self.running >= self.slots or self.fault_mode is FaultMode.SHED:
             self._answer(req, 503, fields, b"", not_run=True)
             return
-        self.at_work += 1
-        ran = Ran(
+        self.running += 1
+        ran = Execution(
             request_id=fields.get("x-attempt-id", ""),
             caller=fields.get("x-caller-service", ""),
             deadline_ms=int(fields.get("x-deadline-ms", "0")),
@@ -122,40 +122,40 @@
             path=req.path,
             body=req.body,
         )
-        self.ran.append(ran)
-        self._write_down(ran)
-        self.after(self.work_s, lambda: self._finish(req, fields))
+        self.executions.append(ran)
+        self._log_execution(ran)
+        self.call_later(self.work_s, lambda: self._finish(req, fields))
 
-    def _write_down(self, ran: Ran) -> None:
+    def _log_execution(self, ran: Execution) -> None:
         """Write a run to standard output, where it outlives this process."""
         line = {"ran": ran.request_id, "instance": self.instance, "path": ran.path}
         line["at"] = clock.now()
         print(json.dumps(line), flush=True)
 
-    def _finish(self, req: loop.Asked, fields: dict[str, str]) -> None:
-        self.at_work -= 1
+    def _finish(self, req: loop.Request, fields: dict[str, str]) -> None:
+        self.running -= 1
         if CRASH_PATH in req.path:
-            self._end_by(req)
+            self._crash(req)
             return
         body = f"{self.service} {req.method} {req.path} ".encode() + req.body
         body = body.ljust(int(req.query.get("size", "0")), b".")
-        match self.mood:
-            case Mood.CUT:
+        match self.fault_mode:
+            case FaultMode.CUT:
                 self.abort(req.call)
-            case Mood.FAIL:
+            case FaultMode.FAIL:
                 self._answer(req, 500, fields, b"failed", sealed=True)
-            case Mood.UNSEALED:
+            case FaultMode.UNSEALED:
                 self._answer(req, 200, fields, body)
             case _:
                 self._answer(req, 200, fields, body, sealed=True)
 
-    def gone(self, call: int) -> None:
+    def handle_disconnect(self, call: int) -> None:
         """Drop a lethal request whose connection has closed, as most servers do."""
-        self.left.add(call)
+        self.disconnected.add(call)
 
-    def _end_by(self, req: loop.Asked) -> None:
+    def _crash(self, req: loop.Request) -> None:
         """End as a request has it, unless its connection has closed."""
-        if req.call in self.left:
+        if req.call in self.disconnected:
             return
         line = {"ended": req.path, "instance": self.instance, "at": clock.now()}
         print(json.dumps(line), flush=True)
@@ -163,7 +163,7 @@
 
     def _answer(
         self,
-        req: loop.Asked,
+        req: loop.Request,
         status: int,
         fields: dict[str, str],
         body: bytes,
@@ -171,28 +171,28 @@
         not_run: bool = False,
         sealed: bool = False,
     ) -> None:
-        told = {
+        fields_sent = {
             "x-attempt-id": fields.get("x-attempt-id", ""),
             "x-instance-id": self.instance,
-            "x-server-load": f"{self.at_work},0,{self.slots}",
+            "x-server-load": f"{self.running},0,{self.slots}",
         }
         if not_run:
-            told["x-not-executed"] = "1"
+            fields_sent["x-not-executed"] = "1"
         if sealed:
-            told["x-response-seal"] = f"{self.instance}.{len(body)}"
+            fields_sent["x-response-seal"] = f"{self.instance}.{len(body)}"
         headers = tuple(
             messages.Header(name=name, value=value)
-            for name, value in told.items()
+            for name, value in fields_sent.items()
             if value
         )
         self.answer(req.call, status, body, headers=headers)
 
     def _report(self) -> None:
-        self.after(self.report_every_s, self._report)
+        self.call_later(self.report_interval_s, self._report)
         if not self.leaving:
-            self._call("PUT", self._body("ready"))
+            self._send_report("PUT", self._report_body("ready"))
 
-    def _body(self, state: str) -> bytes:
+    def _report_body(self, state: str) -> bytes:
         self.sequence += 1
         return msgspec.json.encode(
             {
@@ -204,11 +204,11 @@
                 "state": state,
                 "cold_remaining": "0ms",
                 "sequence": self.sequence,
-                "born": self.born,
+                "born": self.started_at_ms,
             }
         )
 
-    def _call(self, method: str, body: bytes) -> bool:
+    def _send_report(self, method: str, body: bytes) -> bool:
         """Report; return whether it was acknowledged."""
         conn = http.client.HTTPConnection(self.reports, timeout=REPORT_TIMEOUT_S)
         try:
--- a/ferrydeck/standins/fleet.py
+++ b/ferrydeck/standins/fleet.py
@@ -30,18 +30,18 @@
 
 
 def eventually(
-    condition: Callable[[], Any], what: str, *, within_s: float = START_TIMEOUT_S
+    condition: Callable[[], Any], description: str, *, within_s: float = START_TIMEOUT_S
 ) -> Any:
     """Wait until a condition holds and return its value; fail after `within_s`."""
-    ends = clock.now() + within_s
-    pause = threading.Event()
+    deadline = clock.now() + within_s
+    event = threading.Event()
     while True:
         with contextlib.suppress(OSError, http.client.HTTPException):
             if value := condition():
                 return value
-        if clock.now() > ends:
-            raise AssertionError(f"not within {within_s} s: {what}")
-        pause.wait(POLL_INTERVAL_S)
+        if clock.now() > deadline:
+            raise AssertionError(f"not within {within_s} s: {description}")
+        event.wait(POLL_INTERVAL_S)
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -164,13 +164,13 @@
     ) -> Process:
         """Start a process that runs a module; of another checkout, if one is given."""
         log = self.folder / f"{name}-{len(self.processes)}.log"
-        with log.open("wb") as out:
+        with log.open("wb") as log_file:
             popen = subprocess.Popen(
                 [sys.executable, "-m", module, *arguments],
                 cwd=checkout,
                 stdin=subprocess.DEVNULL,
-                stdout=out,
-                stderr=out,
+                stdout=log_file,
+                stderr=log_file,
             )
         process = Process(name=name, popen=popen, log=log)
         self.processes.append(process)
@@ -183,11 +183,11 @@
 
     def add_signer(self, name: str) -> None:
         """Make a key for an operator; daemons started from now on trust it."""
-        made = self.run_tool(
+        result = self.run_tool(
             "keygen", "--signer", name, "--out", str(self.key_file(name))
         )
-        assert made.returncode == 0, made.stderr
-        self.signers.append(made.stdout)
+        assert result.returncode == 0, result.stderr
+        self.signers.append(result.stdout)
 
     def key_file(self, name: str) -> pathlib.Path:
         """Return the file of an operator's secret key."""
@@ -213,24 +213,26 @@
         if service:
             ports["target"] = port_range.free_port()
         path = self.folder / f"{name}.toml"
-        path.write_text(self._settings(name, data_centre, service, ports, stop_limit_s))
+        path.write_text(
+            self._settings_toml(name, data_centre, service, ports, stop_limit_s)
+        )
         box = Box(
             name=name,
             data_centre=data_centre,
             service=service,
             settings=path,
             ports=ports,
-            daemon=self._daemon(name, path),
+            daemon=self._start_daemon(name, path),
         )
         if service:
             count = slots or sample.SERVICES[service][0]
-            box.target = self._target(box, count, service_ms)
+            box.target = self._start_target(box, count, service_ms)
         self.boxes[name] = box
         return box
 
     def restart(self, box: Box) -> None:
         """Start the box's daemon again, as a fresh process."""
-        box.daemon = self._daemon(box.name, box.settings)
+        box.daemon = self._start_daemon(box.name, box.settings)
 
     def wait_ready(self, *, shards: bool = True) -> None:
         """Wait until every daemon has a bundle, all peers and its shards.
@@ -239,23 +241,23 @@
         """
         boxes = list(self.boxes.values())
         for box in boxes:
-            eventually(lambda box=box: self._is_ready(box, len(boxes)), box.name)
+            eventually(lambda box=box: self._check_ready(box, len(boxes)), box.name)
         if shards:
             eventually(self._shards_owned, "every shard has an owner")
 
-    def roll(self, text: str, *, signers: tuple[str, ...] = ("akosua",)) -> Any:
+    def roll(self, bundle: str, *, signers: tuple[str, ...] = ("akosua",)) -> Any:
         """Sign a bundle and roll it; return the finished process of the tool."""
         name = f"bundle-{len(list(self.folder.glob('bundle-*.toml')))}"
         source = self.folder / f"{name}.toml"
         signed = self.folder / f"{name}.json"
-        source.write_text(text)
-        given = source
+        source.write_text(bundle)
+        input_path = source
         for signer in signers:
             key = str(self.key_file(signer))
             arguments = ("--signer", signer, "--key", key, "--out", str(signed))
-            made = self.run_tool("sign", str(given), *arguments)
-            assert made.returncode == 0, made.stderr
-            given = signed
+            result = self.run_tool("sign", str(input_path), *arguments)
+            assert result.returncode == 0, result.stderr
+            input_path = signed
         settings = next(iter(self.boxes.values())).settings
         return self.run_tool("roll", str(signed), "--settings", str(settings))
 
@@ -270,7 +272,7 @@
 
     def set_box_list(self, states: dict[str, str]) -> None:
         """Set the platform's list of boxes."""
-        listed = [
+        entries = [
             {
                 "box": name,
                 "address": self.boxes[name].address("peer"),
@@ -279,7 +281,7 @@
             }
             for name, state in states.items()
         ]
-        body = json.dumps(listed).encode()
+        body = json.dumps(entries).encode()
         client.fetch(self.control, "POST", "/_boxes", body=body)
 
     def effects(self) -> dict[str, int]:
@@ -293,7 +295,7 @@
         counts.pop("", None)
         return counts
 
-    def _is_ready(self, box: Box, boxes: int) -> bool:
+    def _check_ready(self, box: Box, boxes: int) -> bool:
         code = box.daemon.popen.poll()
         if code is not None:
             raise AssertionError(f"the daemon of {box.name} has ended with {code}")
@@ -320,7 +322,7 @@
             box.status()["shards"] for box in self.boxes.values() if box.service in once
         )
 
-    def _settings(
+    def _settings_toml(
         self,
         name: str,
         data_centre: str,
@@ -349,10 +351,10 @@
         lines += ["[platform]", f'address = "{address}"', "timeout_s = 0.5"]
         return "\n".join(lines) + "\n" + "\n".join(self.signers)
 
-    def _daemon(self, name: str, path: pathlib.Path) -> Process:
+    def _start_daemon(self, name: str, path: pathlib.Path) -> Process:
         return self.spawn(name, "ferrydeck.signed.daemon", "--settings", str(path))
 
-    def _target(self, box: Box, slots: int, service_ms: float) -> Process:
+    def _start_target(self, box: Box, slots: int, service_ms: float) -> Process:
         return self.spawn(
             f"{box.name}-target",
             "ferrydeck.standins.main",
--- a/ferrydeck/standins/kv_state.py
+++ b/ferrydeck/standins/kv_state.py
@@ -14,7 +14,7 @@
     key: str
     value: str
     revision: int
-    made: int
+    created: int
     lease: int
 
 
@@ -25,7 +25,7 @@
     key: str
     value: str | None
     revision: int
-    made: int = 0
+    created: int = 0
     lease: int = 0
 
 
@@ -34,7 +34,7 @@
     """A lease and when it ends."""
 
     ttl_s: float
-    ends: float
+    expires_at: float
 
 
 @attrs.define(kw_only=True)
@@ -47,7 +47,7 @@
     items: dict[str, Item] = attrs.Factory(dict)
     leases: dict[int, Lease] = attrs.Factory(dict)
     history: list[Change] = attrs.Factory(list)
-    forgotten: int = 0
+    discarded_up_to: int = 0
     """Changes up to this revision are not known any more."""
     _last_lease: int = 100
 
@@ -55,19 +55,21 @@
         """Return a copy of all that is held."""
         return copy.deepcopy(self)
 
-    def restored(self, older: KvState, keep: str) -> KvState:
+    def restored_from(self, snapshot: KvState, kept_prefix: str) -> KvState:
         """Return what a copy holds, in a new era.
 
         Keys below the prefix `keep` are written again as they are now. Other changes
         since the copy are gone; their revisions and leases are given out again.
         """
-        back = older.copy()
-        back.era = self.era + 1
+        restored_from = snapshot.copy()
+        restored_from.era = self.era + 1
         for item in self.items.values():
-            held = back.items.get(item.key)
-            if item.key.startswith(keep) and (held is None or held.value != item.value):
-                back.put(item.key, item.value)
-        return back
+            held = restored_from.items.get(item.key)
+            if item.key.startswith(kept_prefix) and (
+                held is None or held.value != item.value
+            ):
+                restored_from.put(item.key, item.value)
+        return restored_from
 
     def put(self, key: str, value: str, lease: int = 0) -> int:
         """Write a key; return the revision."""
@@ -83,29 +85,29 @@
     ) -> int | list[Item | None]:
         """Carry out all changes, or return the items whose revision is another."""
         found = [self.items.get(one["tls_key"]) for one in expected]
-        wanted = [one["revision"] for one in expected]
-        if [one.revision if one else 0 for one in found] != wanted:
+        expected_revisions = [one["revision"] for one in expected]
+        if [one.revision if one else 0 for one in found] != expected_revisions:
             return found
         if put or remove:
             self.revision += 1
         for one in put:
             self._put(one["tls_key"], one["value"], one.get("lease", 0))
         for key in remove:
-            self._drop(key)
+            self._remove(key)
         return self.revision
 
-    def grant(self, now: float, ttl_s: float) -> int:
+    def grant_lease(self, now: float, ttl_s: float) -> int:
         """Grant a lease; return its number."""
         self._last_lease += 1
-        self.leases[self._last_lease] = Lease(ttl_s=ttl_s, ends=now + ttl_s)
+        self.leases[self._last_lease] = Lease(ttl_s=ttl_s, expires_at=now + ttl_s)
         return self._last_lease
 
-    def keep(self, now: float, lease: int) -> float | None:
+    def renew_lease(self, now: float, lease: int) -> float | None:
         """Renew a lease; return its life, seconds, or `None` where it is over."""
         held = self.leases.get(lease)
         if held is None:
             return None
-        held.ends = now + held.ttl_s
+        held.expires_at = now + held.ttl_s
         return held.ttl_s
 
     def end_lease(self, lease: int) -> bool:
@@ -114,17 +116,19 @@
             return False
         self.revision += 1
         for key in [one.key for one in self.items.values() if one.lease == lease]:
-            self._drop(key)
+            self._remove(key)
         return True
 
-    def expire(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """End the leases whose time is over."""
-        for lease in [one for one, held in self.leases.items() if now >= held.ends]:
+        for lease in [
+            one for one, held in self.leases.items() if now >= held.expires_at
+        ]:
             self.end_lease(lease)
 
-    def since(self, prefix: str, after: int) -> list[Change] | None:
+    def changes_since(self, prefix: str, after: int) -> list[Change] | None:
         """Return the changes below a prefix, `None` where some are not known."""
-        if not self.forgotten <= after <= self.revision:
+        if not self.discarded_up_to <= after <= self.revision:
             return None
         return [
             one
@@ -132,21 +136,27 @@
             if one.revision > after and one.key.startswith(prefix)
         ]
 
-    def forget(self) -> None:
+    def discard_history(self) -> None:
         """Forget all history."""
-        self.forgotten = self.revision
+        self.discarded_up_to = self.revision
         self.history.clear()
 
     def _put(self, key: str, value: str, lease: int) -> None:
         old = self.items.get(key)
-        made = old.made if old else self.revision
+        created = old.created if old else self.revision
         self.items[key] = Item(
-            key=key, value=value, revision=self.revision, made=made, lease=lease
+            key=key, value=value, revision=self.revision, created=created, lease=lease
         )
         self.history.append(
-            Change(key=key, value=value, revision=self.revision, made=made, lease=lease)
+            Change(
+                key=key,
+                value=value,
+                revision=self.revision,
+                created=created,
+                lease=lease,
+            )
         )
 
-    def _drop(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self.history.append(Change(key=key, value=None, revision=self.revision))
--- a/ferrydeck/standins/kv_store.py
+++ b/ferrydeck/standins/kv_store.py
@@ -12,11 +12,11 @@
 from ferrydeck.signed.wire import messages
 from ferrydeck.standins import kv_state, loop
 
-EXPIRE_EVERY_S = 0.05
+EXPIRY_INTERVAL_S = 0.05
 POLICY_KEY = "op/config"
-OPERATORS = "op/"
+OPERATOR_PREFIX = "op/"
 """Keys that operators write, and write again when the store has lost them."""
-READ_ONLY = ("op/", "servers/")
+READ_ONLY_PREFIXES = ("op/", "servers/")
 
 
 class Fault(enum.StrEnum):
@@ -38,7 +38,7 @@
     call: int
     prefix: str
     after: int
-    ends: float
+    deadline: float
 
 
 class KvStore(loop.Loop):
@@ -47,17 +47,17 @@
     def __init__(self, *, ip: str, port: int) -> None:
         super().__init__(ip=ip, ports=[port])
         self.state = kv_state.KvState()
-        self.older = self.state.copy()
+        self.snapshot = self.state.copy()
         """The copy that the store goes back to."""
         self.fault = Fault.NONE
         self.calls = 0
         self.watchers: dict[int, Watcher] = {}
-        self.after(EXPIRE_EVERY_S, self._expire)
+        self.call_later(EXPIRY_INTERVAL_S, self._expire_leases)
 
-    def asked(self, req: loop.Asked) -> None:
+    def handle_request(self, req: loop.Request) -> None:
         """Serve a call of the store, or of whoever controls the stand-in."""
         if req.path.startswith("/standin/"):
-            self._controlled(req)
+            self._handle_control(req)
             return
         self.calls += 1
         match self.fault:
@@ -68,35 +68,35 @@
             case _:
                 self._serve(req)
 
-    def gone(self, call: int) -> None:
+    def handle_disconnect(self, call: int) -> None:
         """Forget a watch whose caller went."""
         self.watchers.pop(call, None)
 
-    def _controlled(self, req: loop.Asked) -> None:
+    def _handle_control(self, req: loop.Request) -> None:
         match req.path:
             case "/standin/policy":
                 value = base64.b64encode(req.body).decode()
                 revision = self.state.put(POLICY_KEY, value)
-                self._tell_watchers()
+                self._notify_watchers()
                 self.answer(req.call, 200, {"revision": revision})
             case "/standin/write":
                 revision = self.state.put(req.body.decode(), "")
-                self._tell_watchers()
+                self._notify_watchers()
                 self.answer(req.call, 200, {"revision": revision})
             case "/standin/fault":
                 self.fault = Fault(req.body.decode())
                 self.answer(req.call, 200, {})
             case "/standin/forget":
-                self.state.forget()
-                self._cut_watchers()
+                self.state.discard_history()
+                self._abort_watchers()
                 self.answer(req.call, 200, {})
             case "/standin/copy":
-                self.older = self.state.copy()
+                self.snapshot = self.state.copy()
                 self.answer(req.call, 200, {"revision": self.state.revision})
             case "/standin/restore":
-                self.state = self.state.restored(self.older, OPERATORS)
-                self.older = self.state.copy()
-                self._cut_watchers()
+                self.state = self.state.restored_from(self.snapshot, OPERATOR_PREFIX)
+                self.snapshot = self.state.copy()
+                self._abort_watchers()
                 self.answer(req.call, 200, {"era": self.state.era})
             case _:
                 keys = sorted(self.state.items)
@@ -114,135 +114,139 @@
         era = messages.Header(name="Store-Era", value=str(self.state.era))
         super().answer(call, status, body, headers=(*headers, era))
 
-    def _cut_watchers(self) -> None:
+    def _abort_watchers(self) -> None:
         for call in list(self.watchers):
             del self.watchers[call]
             self.abort(call)
 
-    def _serve(self, req: loop.Asked) -> None:
+    def _serve(self, req: loop.Request) -> None:
         match req.method, req.path:
             case "GET", "/api/kv-key":
-                self._key(req)
+                self._read_key(req)
             case "GET", "/api/kv-range":
-                self._range(req)
+                self._read_range(req)
             case "GET", "/api/kv-watch":
-                self._watch(req)
+                self._start_watch(req)
             case "POST", "/api/kv-txn":
                 self._transact(req)
             case "POST", "/api/kv-lease":
-                wanted = msgspec.json.decode(req.body)["ttl_time"]
-                ttl_s = int(wanted.removesuffix("ms")) / 1000
-                lease = self.state.grant(clock.now(), ttl_s)
-                self._done(req, {"lease": lease, "ttl_time": wanted})
+                ttl_time = msgspec.json.decode(req.body)["ttl_time"]
+                ttl_s = int(ttl_time.removesuffix("ms")) / 1000
+                lease = self.state.grant_lease(clock.now(), ttl_s)
+                self._complete_write(req, {"lease": lease, "ttl_time": ttl_time})
             case "POST", _ if req.path.startswith("/api/kv-keep/"):
-                self._keep(req)
+                self._renew_lease(req)
             case "DELETE", _ if req.path.startswith("/api/kv-lease-end/"):
-                ended = self.state.end_lease(number_in(req.path))
-                self._done(req, {}, 200 if ended else 404)
+                ended = self.state.end_lease(trailing_number(req.path))
+                self._complete_write(req, {}, 200 if ended else 404)
             case _:
                 self.answer(req.call, 404, {})
 
-    def _key(self, req: loop.Asked) -> None:
+    def _read_key(self, req: loop.Request) -> None:
         item = self.state.items.get(req.query["tls_key"])
         if item is None:
             self.answer(req.call, 404, {"at": self.state.revision})
             return
-        self.answer(req.call, 200, shown(item) | {"at": self.state.revision})
+        self.answer(req.call, 200, item_json(item) | {"at": self.state.revision})
 
-    def _range(self, req: loop.Asked) -> None:
+    def _read_range(self, req: loop.Request) -> None:
         prefix, after = req.query["path_prefix"], req.query.get("after", "")
         keys = sorted(
             key for key in self.state.items if key.startswith(prefix) and key > after
         )
-        page = [shown(self.state.items[key]) for key in keys[:PAGE]]
+        page = [item_json(self.state.items[key]) for key in keys[:PAGE_SIZE]]
         answer = {
             "items": page,
-            "more": len(keys) > PAGE,
+            "more": len(keys) > PAGE_SIZE,
             "at": self.state.revision,
         }
         self.answer(req.call, 200, answer)
 
-    def _watch(self, req: loop.Asked) -> None:
+    def _start_watch(self, req: loop.Request) -> None:
         watcher = Watcher(
             call=req.call,
             prefix=req.query["path_prefix"],
             after=int(req.query["after"]),
-            ends=clock.now() + int(req.query["wait_ms"]) / 1000,
+            deadline=clock.now() + int(req.query["wait_ms"]) / 1000,
         )
-        if not self._tell(watcher):
+        if not self._notify(watcher):
             self.watchers[req.call] = watcher
 
-    def _transact(self, req: loop.Asked) -> None:
-        asked = msgspec.json.decode(req.body)
-        put, remove = asked.get("put", []), asked.get("remove", [])
+    def _transact(self, req: loop.Request) -> None:
+        transaction = msgspec.json.decode(req.body)
+        put, remove = transaction.get("put", []), transaction.get("remove", [])
         keys = [one["tls_key"] for one in put] + remove
-        if any(key.startswith(READ_ONLY) for key in keys):
+        if any(key.startswith(READ_ONLY_PREFIXES) for key in keys):
             self.answer(req.call, 403, {})
             return
         leases = {one.get("lease", 0) for one in put} - {0}
         if leases - set(self.state.leases):
             self.answer(req.call, 404, {})
             return
-        found = self.state.transact(asked.get("expected_rev", []), put, remove)
+        found = self.state.transact(transaction.get("expected_rev", []), put, remove)
         if isinstance(found, int):
-            self._done(req, {"revision": found})
+            self._complete_write(req, {"revision": found})
             return
-        items = [shown(one) for one in found if one is not None]
+        items = [item_json(one) for one in found if one is not None]
         self.answer(req.call, 412, {"items": items})
 
-    def _keep(self, req: loop.Asked) -> None:
-        ttl_s = self.state.keep(clock.now(), number_in(req.path))
+    def _renew_lease(self, req: loop.Request) -> None:
+        ttl_s = self.state.renew_lease(clock.now(), trailing_number(req.path))
         if ttl_s is None:
             self.answer(req.call, 404, {})
             return
-        self._done(req, {"ttl_time": f"{int(ttl_s * 1000)}ms"})
+        self._complete_write(req, {"ttl_time": f"{int(ttl_s * 1000)}ms"})
 
-    def _done(self, req: loop.Asked, answer: object, status: int = 200) -> None:
-        self._tell_watchers()
+    def _complete_write(
+        self, req: loop.Request, answer: object, status: int = 200
+    ) -> None:
+        self._notify_watchers()
         if self.fault is Fault.LOST:
             self.abort(req.call)
             return
         self.answer(req.call, status, answer)
 
-    def _tell_watchers(self) -> None:
+    def _notify_watchers(self) -> None:
         for call, watcher in list(self.watchers.items()):
-            if self._tell(watcher):
+            if self._notify(watcher):
                 del self.watchers[call]
 
-    def _tell(self, watcher: Watcher) -> bool:
+    def _notify(self, watcher: Watcher) -> bool:
         """Answer a watch if there is something to tell; return whether it was."""
-        changes = self.state.since(watcher.prefix, watcher.after)
+        changes = self.state.changes_since(watcher.prefix, watcher.after)
         if changes is None:
             self.answer(watcher.call, 410, {})
             return True
-        if not changes and clock.now() < watcher.ends:
+        if not changes and clock.now() < watcher.deadline:
             return False
-        told = [shown_change(one) for one in changes]
-        self.answer(watcher.call, 200, {"events": told, "at": self.state.revision})
+        change_events = [event_json(one) for one in changes]
+        self.answer(
+            watcher.call, 200, {"events": change_events, "at": self.state.revision}
+        )
         return True
 
-    def _expire(self) -> None:
-        self.after(EXPIRE_EVERY_S, self._expire)
-        self.state.expire(clock.now())
-        self._tell_watchers()
+    def _expire_leases(self) -> None:
+        self.call_later(EXPIRY_INTERVAL_S, self._expire_leases)
+        self.state.expire_leases(clock.now())
+        self._notify_watchers()
 
 
-PAGE = 500
+PAGE_SIZE = 500
 """Items on one page of a range."""
 
 
-def shown(item: kv_state.Item) -> dict[str, object]:
+def item_json(item: kv_state.Item) -> dict[str, object]:
     """Return an item as the store shows it."""
     return {
         "tls_key": item.key,
         "value": item.value,
         "revision": item.revision,
-        "made": item.made,
+        "made": item.created,
         "lease": item.lease,
     }
 
 
-def shown_change(change: kv_state.Change) -> dict[str, object]:
+def event_json(change: kv_state.Change) -> dict[str, object]:
     """Return a change as a watch tells it."""
     if change.value is None:
         return {"tls_key": change.key, "revision": change.revision, "gone": True}
@@ -250,11 +254,11 @@
         "tls_key": change.key,
         "value": change.value,
         "revision": change.revision,
-        "made": change.made,
+        "made": change.created,
         "lease": change.lease,
     }
 
 
-def number_in(path: str) -> int:
+def trailing_number(path: str) -> int:
     """Return the number at the end of a path."""
     return int(path.rpartition("/")[2])
--- a/ferrydeck/standins/loop.py
+++ b/ferrydeck/standins/loop.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define(kw_only=True, frozen=True)
-class Asked:
+class Request:
     """A request to a stand-in, taken apart."""
 
     call: int
@@ -43,7 +43,7 @@
         self.poller = poller.Poller().register(self)
         self.servers: dict[int, http_server.HttpServer] = {}
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.numbers = itertools.count()
+        self.sequence_numbers = itertools.count()
         for port in ports:
             server = http_server.HttpServer(
                 poller=self.poller,
@@ -51,22 +51,22 @@
                 ip=ip,
                 port=port,
                 local=False,
-                feed=lambda event, port=port: self._feed(port, event),
+                feed=lambda event, port=port: self._on_event(port, event),
             )
             server.register(self)
             self.servers[port] = server
 
-    def asked(self, req: Asked) -> None:
+    def handle_request(self, req: Request) -> None:
         """Act on a request."""
         raise NotImplementedError
 
-    def gone(self, call: int) -> None:
+    def handle_disconnect(self, call: int) -> None:
         """Act on a caller that went away."""
 
-    def after(self, delay_s: float, action: Callable[[], None]) -> None:
+    def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
         """Run an action after some time."""
-        due = clock.now() + delay_s
-        heapq.heappush(self.timers, (due, next(self.numbers), action))
+        due_at = clock.now() + delay_s
+        heapq.heappush(self.timers, (due_at, next(self.sequence_numbers), action))
 
     def answer(
         self,
@@ -78,11 +78,11 @@
     ) -> None:
         """Answer a request, with JSON unless `body` is bytes."""
         data = body if isinstance(body, bytes) else msgspec.json.encode(body)
-        made = effects.AnswerCaller(
+        response = effects.AnswerCaller(
             conn=call, status=status, headers=headers, body=data, total=len(data)
         )
         for server in self.servers.values():
-            server.answer(made)
+            server.answer(response)
 
     def abort(self, call: int) -> None:
         """Close the connection of a request without an answer."""
@@ -96,12 +96,12 @@
         if self.timers:
             event.reduce_time_left(max(0.0, self.timers[0][0] - clock.now()))
 
-    def _feed(self, port: int, event: events.Event) -> None:
+    def _on_event(self, port: int, event: events.Event) -> None:
         match event:
             case events.CallReceived():
                 path, _, query = event.path.partition("?")
-                self.asked(
-                    Asked(
+                self.handle_request(
+                    Request(
                         call=event.conn,
                         port=port,
                         method=event.method,
@@ -112,4 +112,4 @@
                     )
                 )
             case events.CallerGone(conn=call):
-                self.gone(call)
+                self.handle_disconnect(call)
--- a/ferrydeck/standins/main.py
+++ b/ferrydeck/standins/main.py
@@ -10,33 +10,33 @@
 
 def parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    made = argparse.ArgumentParser(
+    root = argparse.ArgumentParser(
         prog="ferrydeck-standin",
         description="Small stand-ins for the demo and the tests.",
         epilog="example: ferrydeck-standin target --port 7101 --slots 20",
     )
-    kinds = made.add_subparsers(dest="kind", required=True)
-    for_platform = kinds.add_parser("platform", help="the key-value service")
-    for_platform.add_argument("--port", type=int, action="append", required=True)
-    for_target = kinds.add_parser("target", help="a back end")
-    for_target.add_argument("--port", type=int, required=True)
-    for_target.add_argument("--slots", type=int, default=100)
-    for_target.add_argument("--service-ms", type=float, default=5.0)
-    for_target.add_argument("--cold-start-s", type=float, default=0.0)
-    for_target.add_argument("--local", default="", help="local endpoint, IP:PORT")
-    for_store = kinds.add_parser("store", help="the platform's store")
-    for_store.add_argument("--port", type=int, required=True)
-    for_server = kinds.add_parser("server", help="a server of the platform")
-    for_server.add_argument("--port", type=int, required=True)
-    for_server.add_argument("--service", required=True)
-    for_server.add_argument("--zone", default="hall-a")
-    for_server.add_argument("--reports", required=True, help="a daemon, IP:PORT")
-    for_server.add_argument("--slots", type=int, default=8)
-    for_server.add_argument("--work-ms", type=float, default=2.0)
-    for_server.add_argument("--instance", default="", help="its id; none: a new one")
-    for one in (for_platform, for_target, for_store, for_server):
+    subparsers = root.add_subparsers(dest="kind", required=True)
+    platform_parser = subparsers.add_parser("platform", help="the key-value service")
+    platform_parser.add_argument("--port", type=int, action="append", required=True)
+    target_parser = subparsers.add_parser("target", help="a back end")
+    target_parser.add_argument("--port", type=int, required=True)
+    target_parser.add_argument("--slots", type=int, default=100)
+    target_parser.add_argument("--service-ms", type=float, default=5.0)
+    target_parser.add_argument("--cold-start-s", type=float, default=0.0)
+    target_parser.add_argument("--local", default="", help="local endpoint, IP:PORT")
+    store_parser = subparsers.add_parser("store", help="the platform's store")
+    store_parser.add_argument("--port", type=int, required=True)
+    server_parser = subparsers.add_parser("server", help="a server of the platform")
+    server_parser.add_argument("--port", type=int, required=True)
+    server_parser.add_argument("--service", required=True)
+    server_parser.add_argument("--zone", default="hall-a")
+    server_parser.add_argument("--reports", required=True, help="a daemon, IP:PORT")
+    server_parser.add_argument("--slots", type=int, default=8)
+    server_parser.add_argument("--work-ms", type=float, default=2.0)
+    server_parser.add_argument("--instance", default="", help="its id; none: a new one")
+    for one in (platform_parser, target_parser, store_parser, server_parser):
         one.add_argument("--ip", default="127.0.0.1")
-    return made
+    return root
 
 
 def main(argv: list[str] | None = None) -> int:
--- a/ferrydeck/standins/platform.py
+++ b/ferrydeck/standins/platform.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define(kw_only=True)
-class Waiter:
+class PendingWatch:
     """A watch that waits."""
 
     call: int
@@ -39,25 +39,25 @@
     def __init__(self, *, ip: str, ports: list[int]) -> None:
         super().__init__(ip=ip, ports=ports)
         self.store = store.Store()
-        self.waiters: dict[int, Waiter] = {}
+        self.pending_watches: dict[int, PendingWatch] = {}
         self.faults = Faults()
 
-    def asked(self, req: loop.Asked) -> None:
+    def handle_request(self, req: loop.Request) -> None:
         """Answer a request, as far as the faults let it through."""
         if req.path.startswith("/_"):
-            self._control(req)
+            self._handle_control(req)
         elif self.faults.down or req.port in self.faults.cut_ports:
             self.abort(req.call)
         elif self.faults.slow_s:
-            self.after(self.faults.slow_s, lambda: self._serve(req))
+            self.call_later(self.faults.slow_s, lambda: self._serve(req))
         else:
             self._serve(req)
 
-    def gone(self, call: int) -> None:
+    def handle_disconnect(self, call: int) -> None:
         """Forget the watch of a caller that went away."""
-        self.waiters.pop(call, None)
+        self.pending_watches.pop(call, None)
 
-    def _control(self, req: loop.Asked) -> None:
+    def _handle_control(self, req: loop.Request) -> None:
         match req.path:
             case "/_faults":
                 self._set_faults(msgspec.json.decode(req.body, type=Faults))
@@ -66,7 +66,7 @@
                 boxes = msgspec.json.decode(
                     req.body, type=tuple[platform.ListedBox, ...]
                 )
-                self.after(self.faults.list_lag_s, lambda: self._list(boxes))
+                self.call_later(self.faults.list_lag_s, lambda: self._set_boxes(boxes))
                 self.answer(req.call, 200, {})
             case "/_counts":
                 counts = {"reads": self.store.reads, "writes": self.store.writes}
@@ -80,21 +80,23 @@
         if faults.stale:
             self.store.make_stale()
 
-    def _list(self, boxes: tuple[platform.ListedBox, ...]) -> None:
+    def _set_boxes(self, boxes: tuple[platform.ListedBox, ...]) -> None:
         self.store.boxes = boxes
 
-    def _serve(self, req: loop.Asked) -> None:
-        request = request_of(req)
+    def _serve(self, req: loop.Request) -> None:
+        request = parse_request(req)
         if request is None:
             self.answer(req.call, 404, {})
             return
-        if isinstance(request, platform.Watch) and self._unchanged(request):
-            self.waiters[req.call] = Waiter(call=req.call, request=request)
-            self.after(request.wait_s, lambda: self._end_watch(req.call))
+        if isinstance(request, platform.Watch) and self._is_unchanged(request):
+            self.pending_watches[req.call] = PendingWatch(
+                call=req.call, request=request
+            )
+            self.call_later(request.wait_s, lambda: self._end_watch(req.call))
             return
         result = self.store.apply(clock.now(), request)
         if isinstance(result, platform.Written):
-            self._tell_waiters(request.key)
+            self._answer_watches(request.key)
             if self.faults.lose_answers:
                 self.faults.lose_answers -= 1
                 self.abort(req.call)
@@ -112,25 +114,25 @@
             case _:
                 self.answer(call, 200, result)
 
-    def _unchanged(self, request: platform.Watch) -> bool:
+    def _is_unchanged(self, request: platform.Watch) -> bool:
         return self.store.version(request.key) == request.after_version
 
     def _end_watch(self, call: int) -> None:
-        waiter = self.waiters.pop(call, None)
-        if waiter is not None:
-            self._answer(call, self.store.apply(clock.now(), waiter.request))
+        watch = self.pending_watches.pop(call, None)
+        if watch is not None:
+            self._answer(call, self.store.apply(clock.now(), watch.request))
 
-    def _tell_waiters(self, key: str) -> None:
+    def _answer_watches(self, key: str) -> None:
         changed = [
             one.call
-            for one in self.waiters.values()
-            if one.request.key == key and not self._unchanged(one.request)
+            for one in self.pending_watches.values()
+            if one.request.key == key and not self._is_unchanged(one.request)
         ]
         for call in changed:
             self._end_watch(call)
 
 
-def request_of(req: loop.Asked) -> platform.Request | None:
+def parse_request(req: loop.Request) -> platform.Request | None:
     """Return what a request over HTTP asks for; `None` where it is nothing known."""
     kind, _, key = req.path[1:].partition("/")
     query = req.query
--- a/ferrydeck/standins/port_range.py
+++ b/ferrydeck/standins/port_range.py
@@ -50,8 +50,8 @@
 
 def claim_free_range() -> PortRange:
     """Return the first range that no other process holds, from this process's id on."""
-    for turn in range(MAX_RANGES):
-        index = (os.getpid() + turn) % MAX_RANGES
+    for offset in range(MAX_RANGES):
+        index = (os.getpid() + offset) % MAX_RANGES
         first = FIRST_PORT + index * RANGE_SIZE
         if (guard := claim_ports(first)) is not None:
             ports = iter(range(first + 1, first + RANGE_SIZE))
--- a/ferrydeck/standins/sample.py
+++ b/ferrydeck/standins/sample.py
@@ -57,9 +57,9 @@
     lines += [f"resend_window_s = {resend_window_s}"]
     for name, rank in (classes or CLASSES).items():
         lines += ["", "[[classes]]", f'name = "{name}"', f"rank = {rank}"]
-    for name, (count, connections) in SERVICES.items():
+    for name, (slot_count, connections) in SERVICES.items():
         lines += ["", "[[services]]", f'name = "{name}"']
-        lines += [f"slots = {(slots or {}).get(name, count)}"]
+        lines += [f"slots = {(slots or {}).get(name, slot_count)}"]
         lines += [f"connections = {connections}"]
     for service, method, path, class_name, repeatable, deadline_ms in ROUTES:
         lines += ["", "[[routes]]", f'service = "{service}"', f'method = "{method}"']
--- a/ferrydeck/standins/store.py
+++ b/ferrydeck/standins/store.py
@@ -15,7 +15,7 @@
 
     text: str
     version: int
-    ends_at: float = float("inf")
+    expires_at: float = float("inf")
 
 
 @attrs.define(kw_only=True)
@@ -39,7 +39,7 @@
 
     def apply(self, now: float, request: platform.Request) -> platform.Result:
         """Carry out a request; a watch is answered as a read."""
-        self._end_lives(now)
+        self._expire(now)
         if isinstance(request, platform.Write):
             return self._write(now, request)
         self.reads += 1
@@ -53,7 +53,7 @@
 
     def version(self, key: str) -> int:
         """Return the version of a key as reads show it; 0 where it is absent."""
-        value = self._shown().get(key)
+        value = self._visible().get(key)
         return value.version if value else 0
 
     def _write(
@@ -65,33 +65,33 @@
         if request.expected_version != version:
             return platform.Conflict(version=version)
         self.revision += 1
-        ends_at = now + request.ttl_s if request.ttl_s else float("inf")
+        expires_at = now + request.ttl_s if request.ttl_s else float("inf")
         self.values[request.key] = Value(
-            text=request.value, version=self.revision, ends_at=ends_at
+            text=request.value, version=self.revision, expires_at=expires_at
         )
         return platform.Written(version=self.revision)
 
     def _read(self, key: str) -> platform.Found | platform.Absent:
-        value = self._shown().get(key)
+        value = self._visible().get(key)
         if value is None:
             return platform.Absent()
-        return platform.Found(entry=entry_of(key, value))
+        return platform.Found(entry=to_entry(key, value))
 
     def _list(self, prefix: str) -> tuple[platform.Entry, ...]:
         return tuple(
-            entry_of(key, value)
-            for key, value in sorted(self._shown().items())
+            to_entry(key, value)
+            for key, value in sorted(self._visible().items())
             if key.startswith(prefix)
         )
 
-    def _shown(self) -> dict[str, Value]:
+    def _visible(self) -> dict[str, Value]:
         return self.values if self.snapshot is None else self.snapshot
 
-    def _end_lives(self, now: float) -> None:
-        for key in [key for key, one in self.values.items() if one.ends_at <= now]:
+    def _expire(self, now: float) -> None:
+        for key in [key for key, one in self.values.items() if one.expires_at <= now]:
             del self.values[key]
 
 
-def entry_of(key: str, value: Value) -> platform.Entry:
+def to_entry(key: str, value: Value) -> platform.Entry:
     """Return a key as the platform sends it."""
     return platform.Entry(key=key, value=value.text, version=value.version)
--- a/ferrydeck/standins/target.py
+++ b/ferrydeck/standins/target.py
@@ -21,8 +21,8 @@
 from ferrydeck.signed.wire import messages
 from ferrydeck.standins import loop
 
-NESTED_WAIT_S = 30.0
-LOCAL_CONNECTIONS = 512
+NESTED_TIMEOUT_S = 30.0
+MAX_LOCAL_CONNECTIONS = 512
 
 
 @attrs.define(kw_only=True)
@@ -54,7 +54,7 @@
 class Work:
     """A request on its way through the target."""
 
-    req: loop.Asked
+    req: loop.Request
     nested: list[str]
     context: str
     running: bool = False
@@ -69,28 +69,28 @@
     ) -> None:
         super().__init__(ip=ip, ports=ports)
         self.behaviour = behaviour
-        self.started = clock.now()
+        self.started_at = clock.now()
         self.effects: list[Effect] = []
-        self.busy = 0
+        self.running_count = 0
         self.waiting: collections.deque[Work] = collections.deque()
-        self.works: dict[int, Work] = {}
-        self.load_told = (0.0, 0)
-        self.tickets: dict[int, Work] = {}
+        self.active: dict[int, Work] = {}
+        self.reported_load = (0.0, 0)
+        self.nested_calls: dict[int, Work] = {}
         self.local: http_client.HttpClient | None = None
         if local:
             self.local = http_client.HttpClient(
                 poller=self.poller,
                 channel="local",
                 address=local,
-                max_connections=LOCAL_CONNECTIONS,
-                listener=self._heard,
+                max_connections=MAX_LOCAL_CONNECTIONS,
+                listener=self._on_response,
             )
             self.local.register(self)
 
-    def asked(self, req: loop.Asked) -> None:
+    def handle_request(self, req: loop.Request) -> None:
         """Take a request, or answer one of the tests."""
         if req.path.startswith("/_"):
-            self._control(req)
+            self._handle_control(req)
             return
         if self.behaviour.shedding or self.behaviour.drain:
             self.answer(req.call, 503, {"shed": True})
@@ -101,17 +101,17 @@
             nested=nested.split(",") if nested else [],
             context=headers.get(req.headers, headers.CONTEXT),
         )
-        self.works[req.call] = work
+        self.active[req.call] = work
         self.waiting.append(work)
-        self._fill()
+        self._start_waiting()
 
-    def gone(self, call: int) -> None:
+    def handle_disconnect(self, call: int) -> None:
         """Cancel the work of a caller that went away."""
-        work = self.works.get(call)
+        work = self.active.get(call)
         if work is not None:
             self._end(work)
 
-    def _control(self, req: loop.Asked) -> None:
+    def _handle_control(self, req: loop.Request) -> None:
         match req.path:
             case "/_set":
                 change = msgspec.json.decode(req.body)
@@ -128,26 +128,26 @@
 
     def _lagging_load(self) -> int:
         now = clock.now()
-        if now - self.load_told[0] > self.behaviour.load_lag_s:
-            self.load_told = (now, self.busy)
-        return self.load_told[1]
+        if now - self.reported_load[0] > self.behaviour.load_lag_s:
+            self.reported_load = (now, self.running_count)
+        return self.reported_load[1]
 
     def _slots(self) -> int:
         """Return the slots open now: fewer while the target is cold."""
-        age = clock.now() - self.started
+        age = clock.now() - self.started_at
         if age >= self.behaviour.cold_start_s:
             return self.behaviour.slots
         return max(1, int(self.behaviour.slots * age / self.behaviour.cold_start_s))
 
-    def _fill(self) -> None:
-        while self.waiting and self.busy < self._slots():
+    def _start_waiting(self) -> None:
+        while self.waiting and self.running_count < self._slots():
             work = self.waiting.popleft()
             if not work.ended:
                 self._start(work)
 
     def _start(self, work: Work) -> None:
         work.running = True
-        self.busy += 1
+        self.running_count += 1
         self.effects.append(
             Effect(
                 key=headers.get(work.req.headers, headers.IDEMPOTENCY_KEY),
@@ -156,11 +156,11 @@
                 at=clock.now(),
             )
         )
-        wanted = float(work.req.query.get("ms", self.behaviour.service_ms))
-        delay_s = wanted * self.behaviour.slowdown / 1000
-        self.after(delay_s, lambda: self._nested(work))
+        requested = float(work.req.query.get("ms", self.behaviour.service_ms))
+        delay_s = requested * self.behaviour.slowdown / 1000
+        self.call_later(delay_s, lambda: self._run_nested_calls(work))
 
-    def _nested(self, work: Work) -> None:
+    def _run_nested_calls(self, work: Work) -> None:
         """Make the nested calls one by one, then answer."""
         if work.ended:
             return
@@ -168,19 +168,19 @@
             self._reply(work)
             return
         path = work.nested.pop(0)
-        ticket = next(self.numbers) + 1
-        self.tickets[ticket] = work
+        ticket = next(self.sequence_numbers) + 1
+        self.nested_calls[ticket] = work
         self.local.request(
             ticket,
             method="GET",
             path=urllib.parse.unquote(path),
             fields=[(headers.CONTEXT, work.context)],
             body=b"",
-            deadline=clock.now() + NESTED_WAIT_S,
+            deadline=clock.now() + NESTED_TIMEOUT_S,
         )
 
-    def _heard(self, event: http_client.Event) -> None:
-        work = self.tickets.pop(event.ticket, None)
+    def _on_response(self, event: http_client.Event) -> None:
+        work = self.nested_calls.pop(event.ticket, None)
         if work is None or work.ended:
             return
         failed = isinstance(event, request_client.RequestFailed) or event.status != 200
@@ -188,7 +188,7 @@
             self.answer(work.req.call, 502, {"nested": "failed"})
             self._end(work)
             return
-        self._nested(work)
+        self._run_nested_calls(work)
 
     def _reply(self, work: Work) -> None:
         query = work.req.query
@@ -203,23 +203,23 @@
 
     def _reply_long(self, work: Work, size: int) -> None:
         """Answer with a long body, all of it or from an offset on."""
-        body = pattern(size)
+        body = numbered_body(size)
         etag = messages.Header(name="etag", value=f'"{size}"')
-        wanted = headers.get(work.req.headers, headers.RANGE)
+        requested = headers.get(work.req.headers, headers.RANGE)
         status, headers_sent = 200, (etag,)
-        if wanted.startswith("bytes="):
-            offset = int(wanted[6:].partition("-")[0])
+        if requested.startswith("bytes="):
+            offset = int(requested[6:].partition("-")[0])
             ranged = f"bytes {offset}-{size - 1}/{size}"
             status = 206
             headers_sent = (etag, messages.Header(name="content-range", value=ranged))
             body = body[offset:]
         limit = self.behaviour.break_after
         if limit and len(body) > limit:
-            self._break(work, status, headers_sent, body)
+            self._send_truncated(work, status, headers_sent, body)
             return
         self.answer(work.req.call, status, body, headers=headers_sent)
 
-    def _break(
+    def _send_truncated(
         self,
         work: Work,
         status: int,
@@ -237,15 +237,15 @@
 
     def _end(self, work: Work) -> None:
         work.ended = True
-        self.works.pop(work.req.call, None)
+        self.active.pop(work.req.call, None)
         if work.running:
             work.running = False
-            self.busy -= 1
-        self._fill()
+            self.running_count -= 1
+        self._start_waiting()
 
 
 @functools.lru_cache(maxsize=8)
-def pattern(size: int) -> bytes:
+def numbered_body(size: int) -> bytes:
     """Return a body of which every part differs from every other."""
     line = 16
     count = -(-size // line)
--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -162,11 +162,11 @@
 
 def rolled_raw(mesh, raw, version):
     """Write a pointer and a bundle to the platform, past the tool's checks."""
-    port = client.PlatformPort(address=mesh.control)
+    port = client.PlatformClient(address=mesh.control)
     pointer = port.read(rollout.POINTER).entry
-    port.ask(platform.Write(key=f"bundle/{version}", value=raw, expected_version=0))
+    port.send(platform.Write(key=f"bundle/{version}", value=raw, expected_version=0))
     value = json.dumps({"version": version, "digest": "0" * 64})
-    port.ask(
+    port.send(
         platform.Write(
             key=rollout.POINTER, value=value, expected_version=pointer.version
         )
