--- a/ferrydeck/commands/review.py
+++ b/ferrydeck/commands/review.py
@@ -36,12 +36,12 @@
 
 def current_body(address: str) -> str:
     """Return the body of the bundle that the platform points to, or nothing."""
-    platform_client = client.PlatformClient(address=address)
-    pointer = platform_client.read(rollout.POINTER)
+    api = client.PlatformClient(address=address)
+    pointer = api.read(rollout.POINTER)
     if isinstance(pointer, platform.Absent):
         return ""
     version = json.loads(pointer.entry.value)["version"]
-    found = platform_client.read(rollout.bundle_key(version))
+    found = api.read(rollout.bundle_key(version))
     if isinstance(found, platform.Absent):
         return ""
     return json.loads(found.entry.value)["body"]
--- a/ferrydeck/commands/roll.py
+++ b/ferrydeck/commands/roll.py
@@ -28,46 +28,42 @@
     """Verify the bundle as daemons do, store it, and move the pointer to it."""
     cfg = files.read_settings(args.settings)
     verified = files.read_verified(args.signed, cfg)
-    platform_client = client.PlatformClient(
+    api = client.PlatformClient(
         address=cfg.platform.address, timeout_s=cfg.platform.timeout_s
     )
-    return roll(platform_client, verified)
+    return roll(api, verified)
 
 
-def roll(
-    platform_client: client.PlatformClient, verified: signing.Verified
-) -> outcomes.Outcome:
+def roll(api: client.PlatformClient, verified: signing.Verified) -> outcomes.Outcome:
     """Store a verified bundle once, and point to it from its parent only."""
-    pointer_entry = platform_client.read(rollout.POINTER)
-    refusal = check_parent(platform_client, pointer_entry, verified)
+    pointer = api.read(rollout.POINTER)
+    refusal = check_parent(api, pointer, verified)
     if refusal is not None:
         return refusal
-    refusal = store(platform_client, verified)
+    refusal = store(api, verified)
     if refusal is not None:
         return refusal
-    version = (
-        0 if isinstance(pointer_entry, platform.Absent) else pointer_entry.entry.version
-    )
-    return move_pointer(platform_client, verified, version)
+    version = 0 if isinstance(pointer, platform.Absent) else pointer.entry.version
+    return move_pointer(api, verified, version)
 
 
 def check_parent(
-    platform_client: client.PlatformClient,
-    pointer_entry: platform.Found | platform.Absent,
+    api: client.PlatformClient,
+    pointer: platform.Found | platform.Absent,
     verified: signing.Verified,
 ) -> outcomes.Outcome | None:
     """Return an outcome if the pointer isn't at the bundle's parent."""
     parent = verified.bundle.parent
-    if isinstance(pointer_entry, platform.Absent):
+    if isinstance(pointer, platform.Absent):
         if not parent:
             return None
         text = "the platform has no bundle yet, so a bundle has no parent"
         return outcomes.Refused(text=text)
-    current = msgspec.json.decode(pointer_entry.entry.value, type=rollout.Pointer)
+    current = msgspec.json.decode(pointer.entry.value, type=rollout.Pointer)
     if current.digest == verified.digest:
         return done(verified, "was in force already")
     if current.digest != parent:
-        return conflict(platform_client, current)
+        return conflict(api, current)
     if current.version >= verified.bundle.version:
         text = f"version {current.version} is in force; give a higher one"
         return outcomes.Refused(text=text)
@@ -75,18 +71,16 @@
 
 
 def store(
-    platform_client: client.PlatformClient, verified: signing.Verified
+    api: client.PlatformClient, verified: signing.Verified
 ) -> outcomes.Outcome | None:
     """Write the bundle under its version; an outcome if another one is there."""
     key = rollout.bundle_key(verified.bundle.version)
     value = verified.raw.decode()
     for _ in range(MAX_ATTEMPTS):
-        result = platform_client.send(
-            platform.Write(key=key, value=value, expected_version=0)
-        )
+        result = api.send(platform.Write(key=key, value=value, expected_version=0))
         if isinstance(result, platform.Written):
             return None
-        found = platform_client.read(key)
+        found = api.read(key)
         if isinstance(found, platform.Found):
             stored = json.loads(found.entry.value)
             if stored["body"] == verified.signed.body:
@@ -97,30 +91,23 @@
 
 
 def move_pointer(
-    platform_client: client.PlatformClient,
-    verified: signing.Verified,
-    expected_version: int,
+    api: client.PlatformClient, verified: signing.Verified, expected: int
 ) -> outcomes.Outcome:
     """Swap the pointer; after a lost answer read it again."""
     pointer = rollout.Pointer(version=verified.bundle.version, digest=verified.digest)
     value = msgspec.json.encode(pointer).decode()
     for _ in range(MAX_ATTEMPTS):
-        result = platform_client.send(
-            platform.Write(
-                key=rollout.POINTER, value=value, expected_version=expected_version
-            )
+        result = api.send(
+            platform.Write(key=rollout.POINTER, value=value, expected_version=expected)
         )
         if isinstance(result, platform.Written):
             return done(verified, "rolled")
-        found = platform_client.read(rollout.POINTER)
-        if (
-            isinstance(found, platform.Found)
-            and found.entry.version != expected_version
-        ):
+        found = api.read(rollout.POINTER)
+        if isinstance(found, platform.Found) and found.entry.version != expected:
             current = msgspec.json.decode(found.entry.value, type=rollout.Pointer)
             if current.digest == verified.digest:
                 return done(verified, "rolled")
-            return conflict(platform_client, current)
+            return conflict(api, current)
         time.sleep(RETRY_INTERVAL_S)
     return outcomes.NotKnown(text="the pointer: no answer from the platform")
 
@@ -132,11 +119,9 @@
     return outcomes.Done(text=text, data={"version": version})
 
 
-def conflict(
-    platform_client: client.PlatformClient, current: rollout.Pointer
-) -> outcomes.Refused:
+def conflict(api: client.PlatformClient, current: rollout.Pointer) -> outcomes.Refused:
     """Return the outcome of a race that another bundle won."""
-    found = platform_client.read(rollout.bundle_key(current.version))
+    found = api.read(rollout.bundle_key(current.version))
     value = found.entry.value if isinstance(found, platform.Found) else "{}"
     return conflict_refusal(current.version, current.digest, value)
 
--- a/ferrydeck/commands/summary.py
+++ b/ferrydeck/commands/summary.py
@@ -90,8 +90,7 @@
         return outcomes.BadInput(text="no line of a daemon's log")
     rows = summary.rows()
     text = [
-        f"{second}  {count:6}  {event_name}  {group}"
-        for second, event_name, group, count in rows
+        f"{second}  {count:6}  {name}  {group}" for second, name, group, count in rows
     ]
     text += [f"in all  {count:6}  {name}" for name, count in summary.totals()]
     text.append(
--- a/ferrydeck/replay/case.py
+++ b/ferrydeck/replay/case.py
@@ -1,4 +1,4 @@
-"""A case of the replay: a recorded trace, the boxes it ran on, and its faults."""
+"""Replay cases: a request trace, the boxes that serve it, and faults."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class BoxGroup:
-    """Some boxes of one service, spread over the data centres in turn."""
+    """Boxes of one service, distributed round-robin over the data centres."""
 
     service: str = options.option(NAME)
     count: int = options.option(options.Number(low=1, high=100, integer=True))
@@ -24,7 +24,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Fault:
-    """Something that is wrong for some time, seconds from the start of the load."""
+    """A fault and its time span, in seconds from the start of the load."""
 
     kind: str = options.option(
         options.Choice(values=("slow", "demand", "platform-down", "cut"))
@@ -38,13 +38,13 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Case:
-    """What is replayed, and on what."""
+    """A trace, the boxes to replay it on, and the injected faults."""
 
     trace: str = options.option(options.Text())
     seconds: float = options.option(SECONDS)
-    """How long the trace is played, over and over."""
+    """Duration of the replay, which repeats the trace."""
     loop_s: float = options.option(options.Number(low=0.1, high=86400))
-    """Length of one round of the trace."""
+    """Duration of one repetition of the trace."""
     data_centres: tuple[str, ...] = options.option(options.Items(item=NAME))
     boxes: tuple[BoxGroup, ...] = options.option(
         options.Items(item=options.Section(cls=BoxGroup))
@@ -55,12 +55,12 @@
     resends: int = options.option(
         options.Number(low=0, high=100, integer=True), default=0
     )
-    """How often a caller sends a failed request again, at once."""
+    """Maximum immediate resends of a failed request by its client."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class TraceLine:
-    """One request of the trace."""
+    """One request of a trace."""
 
     t: float
     class_name: str
@@ -72,12 +72,12 @@
 
 
 def load_case(path: str) -> Case | findings.Rejected:
-    """Read and check a case file."""
+    """Read and validate a case file."""
     return options.read_file(Case, path)
 
 
 def load_trace(path: str) -> list[TraceLine] | findings.Rejected:
-    """Read a trace: one JSON object a line."""
+    """Read a trace in JSON Lines format."""
     report = findings.Report(file=path)
     lines = []
     try:
--- a/ferrydeck/replay/ideal.py
+++ b/ferrydeck/replay/ideal.py
@@ -1,4 +1,4 @@
-"""What the slots of a case can serve of whole requests, top class first."""
+"""Computes the goodput that the slots of a case allow, by class priority."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def service_times(path: str) -> list[tuple[str, float]]:
-    """Return the service and the seconds of a call and of all that it calls."""
+    """Return the service and service time of a call and of its nested calls."""
     service, _, rest = path[1:].partition("/")
     query = dict(urllib.parse.parse_qsl(rest.partition("?")[2]))
     times = [(service, float(query.get("ms", "5")) / 1000)]
@@ -22,7 +22,7 @@
 
 
 def slowdown(case: cases.Case, service: str, at: float) -> float:
-    """Return how much longer a service takes at a time of the case."""
+    """Return the service time factor of a service at a time of the case."""
     for fault in case.faults:
         slow = fault.kind == "slow" and fault.service == service
         if slow and fault.at <= at < fault.until:
@@ -31,9 +31,9 @@
 
 
 def slot_seconds(case: cases.Case, path: str, at: float) -> dict[str, float]:
-    """Return how long a request holds a slot of each service, seconds.
+    """Return how many seconds a request occupies a slot of each service.
 
-    A service holds its slot while the calls that it makes are served.
+    A service occupies its slot until its nested calls are answered.
     """
     service, _, rest = path[1:].partition("/")
     query = dict(urllib.parse.parse_qsl(rest.partition("?")[2]))
@@ -56,27 +56,23 @@
     seconds: float,
     scale: int = 1,
 ) -> float:
-    """Return the whole requests a second that the slots can serve.
+    """Return the successful requests a second that the slots allow.
 
-    Ranks are filled in their order; within one, all kinds grow alike until a
-    service that they need is full.
+    Ranks are allocated in order. Within a rank, all request kinds grow at the same
+    rate until a service that they need is saturated.
     """
-    capacity = collections.defaultdict(float)
+    free = collections.defaultdict(float)
     for group in case.boxes:
-        capacity[group.service] += group.count * group.slots * scale * seconds
+        free[group.service] += group.count * group.slots * scale * seconds
     total = 0.0
     for rank in sorted(set(ranks.values())):
-        requests_of_rank = [
-            one for one in requests if ranks[one.line.class_name] == rank
-        ]
-        total += allocate(case, requests_of_rank, capacity)
+        ranked = [one for one in requests if ranks[one.line.class_name] == rank]
+        total += allocate(case, ranked, free)
     return total / seconds
 
 
-def allocate(
-    case: cases.Case, requests: list[Any], capacity: dict[str, float]
-) -> float:
-    """Serve as much of one rank as the room allows; return how many requests."""
+def allocate(case: cases.Case, requests: list[Any], free: dict[str, float]) -> float:
+    """Allocate capacity to one rank and return the number of requests served."""
     demand = collections.defaultdict(lambda: collections.defaultdict(float))
     counts: collections.Counter[frozenset[str]] = collections.Counter()
     begins = min((one.at for one in case.faults), default=0.0)
@@ -89,16 +85,16 @@
     shares = dict.fromkeys(demand, 0.0)
     unsaturated = set(demand)
     while unsaturated:
-        increment = largest_step(demand, unsaturated, shares, capacity)
+        increment = largest_step(demand, unsaturated, shares, free)
         for services in unsaturated:
             shares[services] += increment
             for service, seconds in demand[services].items():
-                capacity[service] -= increment * seconds
+                free[service] -= increment * seconds
         unsaturated = {
             services
             for services in unsaturated
             if shares[services] < 1 - EPSILON
-            and all(capacity[service] > EPSILON for service in demand[services])
+            and all(free[service] > EPSILON for service in demand[services])
         }
     return sum(shares[services] * counts[services] for services in demand)
 
@@ -107,9 +103,9 @@
     demand: dict[frozenset[str], dict[str, float]],
     unsaturated: set[frozenset[str]],
     shares: dict[frozenset[str], float],
-    capacity: dict[str, float],
+    free: dict[str, float],
 ) -> float:
-    """Return how far all growing kinds can grow before one is done or a room full."""
+    """Return the largest equal increment before a kind or a service is saturated."""
     increment = min(1 - shares[services] for services in unsaturated)
     needed_s: dict[str, float] = collections.defaultdict(float)
     for services in unsaturated:
@@ -117,5 +113,5 @@
             needed_s[service] += seconds
     for service, seconds in needed_s.items():
         if seconds > EPSILON:
-            increment = min(increment, capacity[service] / seconds)
+            increment = min(increment, free[service] / seconds)
     return max(0.0, increment)
--- a/ferrydeck/replay/player.py
+++ b/ferrydeck/replay/player.py
@@ -1,4 +1,4 @@
-"""Plays a case through the real cores and measures what callers got."""
+"""Replays a case through the daemon cores and measures the clients' results."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from ferrydeck.signed.core import effects, policies
 
 SETTLE_S = 2.0
-"""Time in which the boxes find each other before the load begins, seconds."""
+"""Time for the boxes to discover each other before the load starts."""
 DRAIN_S = 12.0
 MAX_JITTER_S = 1.0
 BUCKET_WIDTH_S = 0.5
@@ -23,7 +23,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Request:
-    """One request of a caller, with all its sendings."""
+    """One request of a client, including its resends."""
 
     line: cases.TraceLine
     began: float
@@ -34,7 +34,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class ClassResult:
-    """What the requests of one class got."""
+    """The results of one request class."""
 
     class_name: str
     sent: int
@@ -45,26 +45,26 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Result:
-    """What a replay measured."""
+    """The measurements of a replay."""
 
     classes: tuple[ClassResult, ...]
     goodput: float
-    """Whole requests a second while the fault lasts."""
+    """Successful requests a second during the fault."""
     ideal: float
-    """Whole requests a second that the slots can serve meanwhile, top class first."""
+    """Goodput that the slots allow during the fault, highest priority class first."""
     goodput_share: float
     wasted: float
-    """Share of the targets' working time spent on requests that failed."""
+    """Fraction of the targets' busy time spent on requests that failed."""
     attempts: float
-    """Attempts a forwarded call, nested ones included."""
+    """Mean attempts per forwarded call, including nested calls."""
     recovery_s: float
-    """From the end of the fault to goodput back at 95%, held for 2 s."""
+    """Time from the end of the fault until goodput stays at 95% for 2 s."""
     top_refused: int
-    """Requests of top classes that did not come back whole in the fault."""
+    """Requests of the highest priority classes that failed during the fault."""
 
 
 class Player:
-    """Plays one case under one policy."""
+    """Replays one case under one policy."""
 
     def __init__(
         self,
@@ -86,7 +86,7 @@
         self.ranks = {one.name: one.rank for one in bundle.classes}
 
     def play(self) -> Result:
-        """Play the case and return what was measured."""
+        """Replay the case and return the measurements."""
         self._build()
         self.world.run(SETTLE_S)
         start = self.world.env.now
@@ -102,7 +102,7 @@
             attrs.evolve(one, slots=one.slots * self.scale)
             for one in self.bundle.services
         )
-        self.world.activate_bundle(attrs.evolve(self.bundle, services=services))
+        self.world.activate(attrs.evolve(self.bundle, services=services))
         centres = self.case.data_centres
         for name in centres:
             self.world.add_box(f"{name}-entry", name)
@@ -141,18 +141,16 @@
             for copy in range(self._copies(at)):
                 key = f"{line.key}-{number}-{copy}" if line.key else ""
                 begin = start + at + self._jitter(copy)
-                self._call_at(
-                    begin, lambda key=key, line=line: self._start_request(line, key)
-                )
+                self._call_at(begin, lambda key=key, line=line: self._start(line, key))
 
     def _jitter(self, copy: int) -> float:
-        """Return how long after its line a copy is sent, so that none come together."""
+        """Return the delay of a copy, which keeps copies from arriving together."""
         return self.rng.uniform(0, MAX_JITTER_S) if copy else 0.0
 
     def _copies(self, at: float) -> int:
-        """Return how often a line is sent: more while demand is up.
+        """Return the number of requests for a trace line.
 
-        Slots and calls grow alike with the scale of the replay.
+        Scales with the slots; demand faults multiply it.
         """
         for fault in self.case.faults:
             if fault.kind == "demand" and fault.at <= at < fault.until:
@@ -160,7 +158,7 @@
                 return int(multiplier) + (self.rng.random() < multiplier % 1)
         return self.scale
 
-    def _start_request(self, line: cases.TraceLine, key: str) -> None:
+    def _start(self, line: cases.TraceLine, key: str) -> None:
         request = Request(line=line, began=self.world.env.now, key=key)
         self.requests.append(request)
         self._send(request)
@@ -196,15 +194,13 @@
         begin, end = self._fault_span()
         in_fault = [one for one in self.requests if begin <= one.began - start < end]
         goodput = sum(one.whole for one in in_fault) / (end - begin)
-        ideal_goodput = ideal.goodput(
-            self.case, in_fault, self.ranks, end - begin, self.scale
-        )
+        limit = ideal.goodput(self.case, in_fault, self.ranks, end - begin, self.scale)
         top = [one for one in in_fault if self.ranks[one.line.class_name] == 0]
         return Result(
             classes=self._by_class(in_fault),
             goodput=round(goodput, 2),
-            ideal=round(ideal_goodput, 2),
-            goodput_share=round(goodput / ideal_goodput, 4) if ideal_goodput else 0.0,
+            ideal=round(limit, 2),
+            goodput_share=round(goodput / limit, 4) if limit else 0.0,
             wasted=round(self._wasted(start), 4),
             attempts=round(self._attempts(), 4),
             recovery_s=self._recovery(start, end),
@@ -255,7 +251,7 @@
         return attempts / forwarded if forwarded else 0.0
 
     def _recovery(self, start: float, end: float) -> float:
-        """Return when goodput is back, by the time at which requests began."""
+        """Return the recovery time, with requests bucketed by their start time."""
         sent: collections.Counter[int] = collections.Counter()
         whole: collections.Counter[int] = collections.Counter()
         for request in self.requests:
--- a/ferrydeck/replay/targets.py
+++ b/ferrydeck/replay/targets.py
@@ -1,4 +1,4 @@
-"""The fake target of the replay: slots, a queue of its own, a record of effects."""
+"""A simulated target with slots and a queue that records its executions."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Effect:
-    """One piece of work that was started."""
+    """One execution of a request, which may have side effects."""
 
     key: str
     path: str
@@ -23,7 +23,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Work:
-    """A dispatch on its way through the target."""
+    """A dispatched request that is queued or running at the target."""
 
     dispatch: effects.DispatchTarget
     service_s: float
@@ -37,18 +37,18 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeTarget:
-    """Works in simpy's time; what is over its slots waits in its own queue.
+    """Executes requests in virtual time and queues those beyond its slots.
 
-    The query of a path says the work: `ms` of service time, `call` of the paths
-    that are called first (with commas between), `again` for how often each of
-    them is tried again by the service itself, `status` of the answer.
+    Query parameters: `ms` is the service time, `call` lists nested paths separated
+    by commas, `again` is the number of retries of each nested call, and `status` is
+    the response status.
     """
 
     env: simpy.Environment
     slots: int
     emit: object
     call_daemon: object
-    """Makes a call through the box's own daemon, for the service on it."""
+    """Sends a nested call through the daemon of the same box."""
     slowdown: float = 1.0
     running: int = 0
     busy_s: float = 0.0
@@ -57,7 +57,7 @@
     executions: list[Effect] = attrs.Factory(list)
 
     def dispatch(self, request: effects.DispatchTarget) -> None:
-        """Take a dispatch."""
+        """Queue a dispatched request."""
         query = dict(urllib.parse.parse_qsl(request.path.partition("?")[2]))
         nested = query.get("call", "")
         work = Work(
@@ -73,7 +73,7 @@
         self._start_waiting()
 
     def cancel(self, dispatch: int) -> None:
-        """Stop a dispatch."""
+        """Cancel a dispatched request."""
         work = self.active.get(dispatch)
         if work is not None:
             self._end(work)
@@ -103,11 +103,9 @@
         path = urllib.parse.unquote(work.nested[0])
         work.attempts += 1
         token = headers.get(work.dispatch.headers, headers.CONTEXT)
-        self.call_daemon(
-            path, token, lambda answer: self._on_nested_answer(work, answer)
-        )
+        self.call_daemon(path, token, lambda answer: self._on_nested(work, answer))
 
-    def _on_nested_answer(self, work: Work, answer: effects.AnswerCaller) -> None:
+    def _on_nested(self, work: Work, answer: effects.AnswerCaller) -> None:
         if work.finished:
             return
         if answer.status == 200 or work.attempts > work.max_retries:
--- a/ferrydeck/replay/world.py
+++ b/ferrydeck/replay/world.py
@@ -1,7 +1,7 @@
-"""A few cores under virtual time, joined by links and a platform that can fail.
+"""Simulates a cluster of daemon cores in virtual time, with fault injection.
 
-This is no cluster simulator: it carries the effects of one core to the others
-as events, by `simpy`, and lets tests and traces set faults at these interfaces.
+Carries the effects of each core to the others as `simpy` events. Tests and traces
+inject faults into the links and the platform; hardware is not simulated.
 """
 
 from __future__ import annotations
@@ -36,29 +36,29 @@
 
 @attrs.define(kw_only=True)
 class Faults:
-    """What is wrong between the parts."""
+    """The faults injected into links and the platform."""
 
     platform_down: bool = False
     platform_slow_s: float = 0.0
     lost_responses: int = 0
-    """So many writes to come take effect, but their answers are lost."""
+    """Number of upcoming writes that are applied but whose responses are lost."""
     partitions: set[frozenset[str]] = attrs.Factory(set)
-    """Pairs of data centres between which nothing passes."""
+    """Pairs of data centres that can't reach each other."""
     partitioned_from_platform: set[str] = attrs.Factory(set)
     loss_ratio: float = 0.0
-    """Share of the messages between daemons that are lost."""
+    """Fraction of the messages between daemons that is lost."""
     delay_ratio: float = 0.0
-    """Share of the messages that come late, by up to `late_s`."""
+    """Fraction of the messages that is delayed, by up to `max_delay_s`."""
     max_delay_s: float = 0.5
     duplicate_ratio: float = 0.0
-    """Share of the messages that come twice."""
+    """Fraction of the messages that is delivered twice."""
     extra_delay: Callable[[str, messages.Message], float] | None = None
-    """Seconds that a message of a box is held up, besides; below 0 it is lost."""
+    """Returns the additional delay of a box's message, seconds; below 0 drops it."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Box:
-    """One box: its core, its target, and what waits while it stands still."""
+    """One box: its daemon core, its target and the events queued while frozen."""
 
     name: str
     data_centre: str
@@ -75,7 +75,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ClientCall:
-    """A call of a caller, and what it got."""
+    """A call of a client and its response."""
 
     entry: str
     path: str
@@ -87,7 +87,7 @@
 
     @property
     def outcome(self) -> str:
-        """The outcome, or nothing while there is none."""
+        """The outcome header of the response; empty before a response."""
         if self.answer is None:
             return ""
         return next(
@@ -96,7 +96,7 @@
 
 
 class World:
-    """Boxes, links, a platform and callers, in virtual time."""
+    """A simulated cluster: boxes, links, the platform and clients."""
 
     def __init__(self, *, seed: int = 1, policy: policies.Policy | None = None) -> None:
         self.env = simpy.Environment()
@@ -116,8 +116,8 @@
         self._incarnation_ids = itertools.count(1)
         self._verified: signing.Verified | None = None
 
-    def activate_bundle(self, bundle: bundles.Bundle) -> None:
-        """Put a bundle in force at every box, now and when one starts."""
+    def activate(self, bundle: bundles.Bundle) -> None:
+        """Activate a bundle at all boxes, including those added later."""
         body = bundles.canonical_body(bundle).decode()
         signed = signing.SignedBundle(body=body)
         self._verified = signing.Verified(
@@ -129,7 +129,7 @@
     def add_box(
         self, name: str, data_centre: str, *, service: str = "", slots: int = 0
     ) -> Box:
-        """Start a box, and its target where it gives a service."""
+        """Start a box, with a target if it serves a service."""
         address = f"{name}:1"
         self.names_by_address[address] = name
         core = daemon_core.Core(
@@ -164,28 +164,28 @@
         return box
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the virtual time."""
         self.env.run(until=self.env.now + seconds)
 
     def kill(self, name: str) -> None:
-        """End a box's daemon at once; its target goes on."""
+        """Terminate a box's daemon immediately; its target keeps running."""
         box = self.boxes[name]
         box.alive = False
         box.queued_events.clear()
         self.killed_boxes.append(box)
 
     def restart(self, name: str) -> Box:
-        """Start a box's daemon anew, with nothing kept."""
+        """Restart a box's daemon without any of its state."""
         box = self.boxes[name]
         box.alive = False
         return self.add_box(name, box.data_centre, service=box.core.identity.service)
 
     def freeze(self, name: str) -> None:
-        """Have a daemon stand still."""
+        """Suspend a daemon, queueing its events."""
         self.boxes[name].frozen = True
 
     def thaw(self, name: str) -> None:
-        """Have a daemon go on, with all that came in meanwhile."""
+        """Resume a daemon and deliver the events queued meanwhile."""
         box = self.boxes[name]
         box.frozen = False
         queued, box.queued_events = box.queued_events, []
@@ -194,7 +194,7 @@
             self.handle_event(box, event)
 
     def stop(self, name: str) -> None:
-        """Ask a daemon to end as planned."""
+        """Ask a daemon to shut down gracefully."""
         self.handle_event(self.boxes[name], events.StopAsked(end=True, reason="test"))
 
     def call(
@@ -210,7 +210,7 @@
         local: bool = False,
         on_answer: Callable[[effects.AnswerCaller], None] | None = None,
     ) -> ClientCall:
-        """Send a call of a caller through an entry box."""
+        """Send a client's call through an entry box."""
         fields = []
         if key:
             fields.append(messages.Header(name="idempotency-key", value=key))
@@ -238,14 +238,12 @@
         return call
 
     def effects(self) -> list[targets.Effect]:
-        """Return what all targets have started."""
-        executions = [
-            box.target.executions for box in self.boxes.values() if box.target
-        ]
-        return sorted(itertools.chain(*executions), key=lambda one: one.at)
+        """Return the executions started at all targets, by time."""
+        lists = [box.target.executions for box in self.boxes.values() if box.target]
+        return sorted(itertools.chain(*lists), key=lambda one: one.at)
 
     def handle_event(self, box: Box, event: events.Event) -> None:
-        """Give a box's core an event, or hold it while the box stands still."""
+        """Pass an event to a box's core, or queue it while the box is frozen."""
         if not box.alive or box.stopped:
             return
         if box.frozen:
@@ -326,15 +324,12 @@
             on_answer(effect)
 
     def _send_message(self, box: Box, effect: effects.SendPeer) -> None:
-        """Carry a message to another box, as far as the faults let it."""
+        """Deliver a message to another box, subject to the faults."""
         receiver = self.boxes.get(self.names_by_address.get(effect.address, ""))
         if receiver is None or not receiver.alive or receiver.stopped:
             return
-        data_centres = frozenset((box.data_centre, receiver.data_centre))
-        if (
-            data_centres in self.faults.partitions
-            or self.rng.random() < self.faults.loss_ratio
-        ):
+        link = frozenset((box.data_centre, receiver.data_centre))
+        if link in self.faults.partitions or self.rng.random() < self.faults.loss_ratio:
             return
         delay = self.faults.extra_delay
         extra_s = delay(box.name, effect.message) if delay else 0.0
@@ -356,14 +351,14 @@
         event = events.PeerReceived(received=received)
         copies = 2 if self.rng.random() < self.faults.duplicate_ratio else 1
         for _ in range(copies):
-            latency_s = self._latency(data_centres) + extra_s
+            latency_s = self._latency(link) + extra_s
             self._call_later(latency_s, lambda: self._deliver(receiver.name, event))
 
     def _deliver(self, name: str, event: events.Event) -> None:
         self.handle_event(self.boxes[name], event)
 
-    def _latency(self, data_centres: frozenset[str]) -> float:
-        latency = LOCAL_LATENCY_S if len(data_centres) == 1 else REMOTE_LATENCY_S
+    def _latency(self, link: frozenset[str]) -> float:
+        latency = LOCAL_LATENCY_S if len(link) == 1 else REMOTE_LATENCY_S
         if self.rng.random() < self.faults.delay_ratio:
             latency += self.rng.uniform(0, self.faults.max_delay_s)
         return latency
@@ -380,7 +375,7 @@
         self._call_later(delay_s, lambda: self._execute_on_platform(box, request))
 
     def _poll_watch(self, box: Box, request: platform.Watch, deadline: float) -> None:
-        """Look at a watched key from time to time."""
+        """Poll a watched key until it changes or the watch times out."""
         changed = self.store.version(request.key) != request.after_version
         if changed or self.env.now >= deadline:
             self._execute_on_platform(box, request)
--- a/ferrydeck/standins/__init__.py
+++ b/ferrydeck/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for a target, for demo and tests."""
+"""Stand-ins for the platform and for targets, used by the demo and the tests."""
--- a/ferrydeck/standins/app_server.py
+++ b/ferrydeck/standins/app_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for a server of the platform: it reports, works, sheds and leaves."""
+"""A stand-in for an application server that reports its state to a daemon."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 REPORT_TIMEOUT_S = 1.0
 CRASH_PATH = "/lethal"
-"""What a path holds whose run ends the server in place of an answer."""
+"""Part of a request path that makes the server exit instead of answering."""
 CRASH_EXIT_CODE = 70
 
 
 class FaultMode(enum.StrEnum):
-    """How the server behaves."""
+    """How the server handles requests."""
 
     WELL = "well"
     SHED = "shed"
-    """Refuses all requests, and says that it did not run them."""
+    """Refuses all requests and reports them as not executed."""
     FAIL = "fail"
-    """Runs requests and answers 500."""
+    """Executes requests and answers 500."""
     CUT = "cut"
-    """Runs requests and ends the connection without an answer."""
+    """Executes requests and closes the connection without a response."""
     UNSEALED = "unsealed"
-    """Answers without its mark of a whole answer."""
+    """Answers without the header that proves a complete response."""
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Execution:
-    """A request that the server ran."""
+    """A request that the server executed."""
 
     request_id: str
     caller: str
@@ -47,7 +47,7 @@
 
 
 class AppServer(loop.Loop):
-    """Serves requests on one port and reports to the daemon beside it."""
+    """Serves requests on one port and reports to a daemon."""
 
     def __init__(
         self,
@@ -78,11 +78,11 @@
         self.running = 0
         self.executions: list[Execution] = []
         self.disconnected: set[int] = set()
-        """Calls whose callers have gone."""
+        """Calls whose clients have disconnected."""
         self.call_later(0.0, self._report)
 
     def handle_request(self, req: loop.Request) -> None:
-        """Serve a request, a health check, or whoever controls the stand-in."""
+        """Handle a request, a health check or a control call."""
         fields = {one.name: one.value for one in req.headers}
         if req.path.startswith("/standin/"):
             self._handle_control(req)
@@ -127,7 +127,7 @@
         self.call_later(self.work_s, lambda: self._finish(req, fields))
 
     def _log_execution(self, ran: Execution) -> None:
-        """Write a run to standard output, where it outlives this process."""
+        """Write an execution to standard output, where it outlives this process."""
         line = {"ran": ran.request_id, "instance": self.instance, "path": ran.path}
         line["at"] = clock.now()
         print(json.dumps(line), flush=True)
@@ -150,11 +150,11 @@
                 self._answer(req, 200, fields, body, sealed=True)
 
     def handle_disconnect(self, call: int) -> None:
-        """Drop a lethal request whose connection has closed, as most servers do."""
+        """Record the disconnect, which cancels a request that would exit the server."""
         self.disconnected.add(call)
 
     def _crash(self, req: loop.Request) -> None:
-        """End as a request has it, unless its connection has closed."""
+        """Exit the process unless the request's connection has closed."""
         if req.call in self.disconnected:
             return
         line = {"ended": req.path, "instance": self.instance, "at": clock.now()}
@@ -209,7 +209,7 @@
         )
 
     def _send_report(self, method: str, body: bytes) -> bool:
-        """Report; return whether it was acknowledged."""
+        """Send a report and return whether it was acknowledged."""
         conn = http.client.HTTPConnection(self.reports, timeout=REPORT_TIMEOUT_S)
         try:
             conn.request(method, f"/api/instances/{self.instance}", body)
@@ -221,5 +221,5 @@
 
 
 def new_instance() -> str:
-    """Return an id that no other lifetime has."""
+    """Return a unique instance id."""
     return f"i-{clock.wall_ns():x}"
--- a/ferrydeck/standins/fleet.py
+++ b/ferrydeck/standins/fleet.py
@@ -1,7 +1,4 @@
-"""Starts a small fleet of real processes, for the demo, the tests and the bench.
-
-The daemon itself starts no process; this module belongs to the stand-ins.
-"""
+"""Runs daemons, targets and a platform as processes for demo, tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -23,16 +20,16 @@
 from ferrydeck.standins import port_range, sample
 
 POLL_INTERVAL_S = 0.01
-START_TIMEOUT_S = 20.0
+TIMEOUT_S = 20.0
 EXCEPTION_MARKERS = ("raised", "Traceback", '"kind":"exception"')
-"""What lines of logs hold where a handler raised; the last one stands in
-the decision log, which holds neither of the others."""
+"""Log texts that indicate an exception in a handler. The decision log contains only
+the last one."""
 
 
 def eventually(
-    condition: Callable[[], Any], description: str, *, within_s: float = START_TIMEOUT_S
+    condition: Callable[[], Any], description: str, *, within_s: float = TIMEOUT_S
 ) -> Any:
-    """Wait until a condition holds and return its value; fail after `within_s`."""
+    """Wait until a condition is true and return its value; fail after `within_s`."""
     deadline = clock.now() + within_s
     event = threading.Event()
     while True:
@@ -40,45 +37,45 @@
             if value := condition():
                 return value
         if clock.now() > deadline:
-            raise AssertionError(f"not within {within_s} s: {description}")
+            raise AssertionError(f"timed out after {within_s} s: {description}")
         event.wait(POLL_INTERVAL_S)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Process:
-    """A process that was started here."""
+    """A process started by the fleet."""
 
     name: str
     popen: subprocess.Popen
     log: pathlib.Path
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process if it is running."""
         if self.popen.poll() is None:
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait for its exit."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
 
     def freeze(self) -> None:
-        """Have the process stand still."""
+        """Suspend the process."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Have the process go on."""
+        """Resume the process."""
         self.signal(signal.SIGCONT)
 
-    def stop(self, within_s: float = START_TIMEOUT_S) -> int:
-        """Ask the process to end as planned; return its exit code."""
+    def stop(self, within_s: float = TIMEOUT_S) -> int:
+        """Ask the process to shut down gracefully and return its exit code."""
         self.signal(signal.SIGTERM)
         return self.popen.wait(within_s)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Box:
-    """One box: a daemon, and a target where it has one."""
+    """One box: a daemon and an optional target."""
 
     name: str
     data_centre: str
@@ -97,23 +94,23 @@
         return json.loads(client.fetch(self.address("admin"), "GET", "/status").body)
 
     def audit(self, action: str = "") -> list[dict[str, Any]]:
-        """Return the daemon's audit trail, one kind of change or all."""
+        """Return the daemon's audit trail, optionally of one action only."""
         body = client.fetch(self.address("admin"), "GET", "/audit").body
         entries = [json.loads(line) for line in body.splitlines()]
         return [one for one in entries if action in ("", one["action"])]
 
     def effects(self) -> list[dict[str, Any]]:
-        """Return what the target has started."""
+        """Return the executions started at the target."""
         return json.loads(client.fetch(self.address("target"), "GET", "/_effects").body)
 
     def configure_target(self, **changes: Any) -> None:
-        """Change how the target behaves."""
+        """Change settings of the target's behaviour."""
         body = json.dumps(changes).encode()
         client.fetch(self.address("target"), "POST", "/_set", body=body)
 
 
 class Fleet:
-    """Daemons, targets and one platform; everything ends with `close`."""
+    """Daemons, targets and one platform; `close` kills all of them."""
 
     def __init__(self, folder: pathlib.Path, *, data_centres: list[str]) -> None:
         self.folder = folder
@@ -139,7 +136,7 @@
         self.close()
 
     def logged_exceptions(self) -> list[str]:
-        """Return the lines of logs that report a handler that raised."""
+        """Return the log lines that report an exception in a handler."""
         return [
             f"{process.name}: {line}"
             for process in self.processes
@@ -148,7 +145,7 @@
         ]
 
     def close(self) -> None:
-        """End every process that was started here, by its id."""
+        """Kill every process that the fleet started."""
         for process in self.processes:
             process.thaw()
             process.signal(signal.SIGKILL)
@@ -162,7 +159,7 @@
         *arguments: str,
         checkout: pathlib.Path | None = None,
     ) -> Process:
-        """Start a process that runs a module; of another checkout, if one is given."""
+        """Run a module in a new process, optionally from another checkout."""
         log = self.folder / f"{name}-{len(self.processes)}.log"
         with log.open("wb") as log_file:
             popen = subprocess.Popen(
@@ -177,12 +174,12 @@
         return process
 
     def run_tool(self, *arguments: str) -> subprocess.CompletedProcess:
-        """Run the operators' tool to its end."""
+        """Run the command-line tool and return the completed process."""
         command = [sys.executable, "-m", "ferrydeck.cli", *arguments]
         return subprocess.run(command, capture_output=True, text=True, check=False)
 
     def add_signer(self, name: str) -> None:
-        """Make a key for an operator; daemons started from now on trust it."""
+        """Generate an operator's key, which daemons started later trust."""
         result = self.run_tool(
             "keygen", "--signer", name, "--out", str(self.key_file(name))
         )
@@ -190,7 +187,7 @@
         self.signers.append(result.stdout)
 
     def key_file(self, name: str) -> pathlib.Path:
-        """Return the file of an operator's secret key."""
+        """Return the path of an operator's secret key."""
         return self.folder / f"{name}.key"
 
     def add_box(
@@ -204,7 +201,7 @@
         service_ms: float = 5.0,
         stop_limit_s: float = 30.0,
     ) -> Box:
-        """Start a box and, where it gives a service, its target."""
+        """Start a box, with a target if it serves a service."""
         ports = {
             one: port_range.free_port() for one in ("peer", "call", "admin", "local")
         }
@@ -213,9 +210,7 @@
         if service:
             ports["target"] = port_range.free_port()
         path = self.folder / f"{name}.toml"
-        path.write_text(
-            self._settings_toml(name, data_centre, service, ports, stop_limit_s)
-        )
+        path.write_text(self._render(name, data_centre, service, ports, stop_limit_s))
         box = Box(
             name=name,
             data_centre=data_centre,
@@ -231,13 +226,13 @@
         return box
 
     def restart(self, box: Box) -> None:
-        """Start the box's daemon again, as a fresh process."""
+        """Start the box's daemon in a new process."""
         box.daemon = self._start_daemon(box.name, box.settings)
 
     def wait_ready(self, *, shards: bool = True) -> None:
         """Wait until every daemon has a bundle, all peers and its shards.
 
-        Fails for a daemon that has ended: whatever answers at its address is another's.
+        Fails if a daemon has exited, since another process may use its address.
         """
         boxes = list(self.boxes.values())
         for box in boxes:
@@ -246,7 +241,7 @@
             eventually(self._shards_owned, "every shard has an owner")
 
     def roll(self, bundle: str, *, signers: tuple[str, ...] = ("akosua",)) -> Any:
-        """Sign a bundle and roll it; return the finished process of the tool."""
+        """Sign a bundle, roll it out and return the completed tool process."""
         name = f"bundle-{len(list(self.folder.glob('bundle-*.toml')))}"
         source = self.folder / f"{name}.toml"
         signed = self.folder / f"{name}.json"
@@ -262,12 +257,12 @@
         return self.run_tool("roll", str(signed), "--settings", str(settings))
 
     def set_faults(self, **faults: Any) -> None:
-        """Set what is wrong with the platform; what isn't named is right."""
+        """Set the platform's faults, clearing those that aren't named."""
         body = json.dumps(faults).encode()
         client.fetch(self.control, "POST", "/_faults", body=body)
 
     def platform_counts(self) -> dict[str, int]:
-        """Return how many reads and writes the platform has served."""
+        """Return the numbers of reads and writes that the platform has served."""
         return json.loads(client.fetch(self.control, "GET", "/_counts").body)
 
     def set_box_list(self, states: dict[str, str]) -> None:
@@ -285,7 +280,7 @@
         client.fetch(self.control, "POST", "/_boxes", body=body)
 
     def effects(self) -> dict[str, int]:
-        """Return how often the work of each key was started, over all targets."""
+        """Return the number of executions of each key over all targets."""
         counts: dict[str, int] = {}
         for box in self.boxes.values():
             if box.target is None or box.target.popen.poll() is not None:
@@ -298,7 +293,7 @@
     def _check_ready(self, box: Box, boxes: int) -> bool:
         code = box.daemon.popen.poll()
         if code is not None:
-            raise AssertionError(f"the daemon of {box.name} has ended with {code}")
+            raise AssertionError(f"the daemon of {box.name} exited with code {code}")
         status = box.status()
         known = sum(peer["takes_work"] for peer in status["peers"])
         return status["ready"] and known >= boxes - 1
@@ -316,13 +311,13 @@
         return all(count == 32 for count in owned.values()) and self._balanced()
 
     def _balanced(self) -> bool:
-        """Return whether every box of a service owns some of its shards."""
+        """Return whether each box of the services with shards owns at least one."""
         once = {route[0] for route in sample.ROUTES if not route[4]}
         return all(
             box.status()["shards"] for box in self.boxes.values() if box.service in once
         )
 
-    def _settings_toml(
+    def _render(
         self,
         name: str,
         data_centre: str,
--- a/ferrydeck/standins/kv_state.py
+++ b/ferrydeck/standins/kv_state.py
@@ -1,4 +1,4 @@
-"""What a stand-in for the platform's store holds: items, leases, history."""
+"""The state of the store stand-in: items, leases and the history of changes."""
 
 from __future__ import annotations
 
@@ -9,70 +9,68 @@
 
 @attrs.define(kw_only=True)
 class Item:
-    """A key as it was last written."""
+    """The current value of a key."""
 
     key: str
     value: str
     revision: int
-    created: int
+    made: int
     lease: int
 
 
 @attrs.define(kw_only=True, frozen=True)
 class Change:
-    """A change of one key; `value` is `None` where it went."""
+    """A change of one key; `value` is `None` if it was removed."""
 
     key: str
     value: str | None
     revision: int
-    created: int = 0
+    made: int = 0
     lease: int = 0
 
 
 @attrs.define(kw_only=True)
 class Lease:
-    """A lease and when it ends."""
+    """A lease and its expiry time."""
 
     ttl_s: float
-    expires_at: float
+    expiry: float
 
 
 @attrs.define(kw_only=True)
 class KvState:
-    """Items, leases and the history of changes, on a clock that is handed in."""
+    """Items, leases and the history of changes; callers pass the time."""
 
     era: int = 1
-    """Rises by one when the state goes back to a copy of itself."""
+    """Incremented when the state is restored from a snapshot."""
     revision: int = 1
     items: dict[str, Item] = attrs.Factory(dict)
     leases: dict[int, Lease] = attrs.Factory(dict)
     history: list[Change] = attrs.Factory(list)
     discarded_up_to: int = 0
-    """Changes up to this revision are not known any more."""
+    """The last revision whose history was discarded."""
     _last_lease: int = 100
 
     def copy(self) -> KvState:
-        """Return a copy of all that is held."""
+        """Return a deep copy of the state."""
         return copy.deepcopy(self)
 
-    def restored_from(self, snapshot: KvState, kept_prefix: str) -> KvState:
-        """Return what a copy holds, in a new era.
+    def restored_from(self, snapshot: KvState, kept: str) -> KvState:
+        """Return the state of a snapshot in a new era.
 
-        Keys below the prefix `keep` are written again as they are now. Other changes
-        since the copy are gone; their revisions and leases are given out again.
+        Keys with the kept prefix are rewritten with their current values. Other later
+        changes are lost, and their revisions and lease numbers are reused.
         """
-        restored_from = snapshot.copy()
-        restored_from.era = self.era + 1
+        restored = snapshot.copy()
+        restored.era = self.era + 1
         for item in self.items.values():
-            held = restored_from.items.get(item.key)
-            if item.key.startswith(kept_prefix) and (
-                held is None or held.value != item.value
-            ):
-                restored_from.put(item.key, item.value)
-        return restored_from
+            held = restored.items.get(item.key)
+            if item.key.startswith(kept) and (held is None or held.value != item.value):
+                restored.put(item.key, item.value)
+        return restored
 
     def put(self, key: str, value: str, lease: int = 0) -> int:
-        """Write a key; return the revision."""
+        """Write a key and return the revision."""
         self.revision += 1
         self._put(key, value, lease)
         return self.revision
@@ -83,7 +81,7 @@
         put: list[dict[str, object]],
         remove: list[str],
     ) -> int | list[Item | None]:
-        """Carry out all changes, or return the items whose revision is another."""
+        """Apply all changes, or return the items if a revision doesn't match."""
         found = [self.items.get(one["tls_key"]) for one in expected]
         expected_revisions = [one["revision"] for one in expected]
         if [one.revision if one else 0 for one in found] != expected_revisions:
@@ -97,21 +95,21 @@
         return self.revision
 
     def grant_lease(self, now: float, ttl_s: float) -> int:
-        """Grant a lease; return its number."""
+        """Grant a lease and return its number."""
         self._last_lease += 1
-        self.leases[self._last_lease] = Lease(ttl_s=ttl_s, expires_at=now + ttl_s)
+        self.leases[self._last_lease] = Lease(ttl_s=ttl_s, expiry=now + ttl_s)
         return self._last_lease
 
     def renew_lease(self, now: float, lease: int) -> float | None:
-        """Renew a lease; return its life, seconds, or `None` where it is over."""
+        """Renew a lease and return its TTL, or `None` if it has expired."""
         held = self.leases.get(lease)
         if held is None:
             return None
-        held.expires_at = now + held.ttl_s
+        held.expiry = now + held.ttl_s
         return held.ttl_s
 
     def end_lease(self, lease: int) -> bool:
-        """End a lease and drop its keys; return whether there was one."""
+        """End a lease and remove its keys; return whether it existed."""
         if self.leases.pop(lease, None) is None:
             return False
         self.revision += 1
@@ -120,14 +118,12 @@
         return True
 
     def expire_leases(self, now: float) -> None:
-        """End the leases whose time is over."""
-        for lease in [
-            one for one, held in self.leases.items() if now >= held.expires_at
-        ]:
+        """End the leases whose TTL has passed."""
+        for lease in [one for one, held in self.leases.items() if now >= held.expiry]:
             self.end_lease(lease)
 
     def changes_since(self, prefix: str, after: int) -> list[Change] | None:
-        """Return the changes below a prefix, `None` where some are not known."""
+        """Return later changes of a prefix, or `None` if the history is incomplete."""
         if not self.discarded_up_to <= after <= self.revision:
             return None
         return [
@@ -137,24 +133,18 @@
         ]
 
     def discard_history(self) -> None:
-        """Forget all history."""
+        """Discard the history of changes."""
         self.discarded_up_to = self.revision
         self.history.clear()
 
     def _put(self, key: str, value: str, lease: int) -> None:
         old = self.items.get(key)
-        created = old.created if old else self.revision
+        made = old.made if old else self.revision
         self.items[key] = Item(
-            key=key, value=value, revision=self.revision, created=created, lease=lease
+            key=key, value=value, revision=self.revision, made=made, lease=lease
         )
         self.history.append(
-            Change(
-                key=key,
-                value=value,
-                revision=self.revision,
-                created=created,
-                lease=lease,
-            )
+            Change(key=key, value=value, revision=self.revision, made=made, lease=lease)
         )
 
     def _remove(self, key: str) -> None:
--- a/ferrydeck/standins/kv_store.py
+++ b/ferrydeck/standins/kv_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, by its published calls, with its faults."""
+"""A stand-in for the platform's store that serves its HTTP API and injects faults."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 EXPIRY_INTERVAL_S = 0.05
 POLICY_KEY = "op/config"
 OPERATOR_PREFIX = "op/"
-"""Keys that operators write, and write again when the store has lost them."""
+"""Prefix of keys that operators write, and rewrite after the store has lost them."""
 READ_ONLY_PREFIXES = ("op/", "servers/")
 
 
 class Fault(enum.StrEnum):
-    """What is wrong with the store."""
+    """The fault injected into the store."""
 
     NONE = "none"
     BUSY = "busy"
-    """Answers 503; nothing is done."""
+    """Answers 503 without executing the call."""
     SILENT = "silent"
-    """Says nothing; nothing is done."""
+    """Neither answers nor executes the call."""
     LOST = "lost"
-    """Writes are done, and their answers lost."""
+    """Executes writes but drops their responses."""
 
 
 @attrs.define(kw_only=True)
 class Watcher:
-    """A call that waits for a change."""
+    """A watch call that waits for a change."""
 
     call: int
     prefix: str
@@ -42,20 +42,20 @@
 
 
 class KvStore(loop.Loop):
-    """Serves the calls of the store on one port."""
+    """Serves the store's API on one port."""
 
     def __init__(self, *, ip: str, port: int) -> None:
         super().__init__(ip=ip, ports=[port])
         self.state = kv_state.KvState()
         self.snapshot = self.state.copy()
-        """The copy that the store goes back to."""
+        """The state that `/standin/restore` restores."""
         self.fault = Fault.NONE
         self.calls = 0
         self.watchers: dict[int, Watcher] = {}
         self.call_later(EXPIRY_INTERVAL_S, self._expire_leases)
 
     def handle_request(self, req: loop.Request) -> None:
-        """Serve a call of the store, or of whoever controls the stand-in."""
+        """Handle a call of the store's API or a control call."""
         if req.path.startswith("/standin/"):
             self._handle_control(req)
             return
@@ -69,7 +69,7 @@
                 self._serve(req)
 
     def handle_disconnect(self, call: int) -> None:
-        """Forget a watch whose caller went."""
+        """Remove the watch of a disconnected client."""
         self.watchers.pop(call, None)
 
     def _handle_control(self, req: loop.Request) -> None:
@@ -110,7 +110,7 @@
         *,
         headers: tuple[messages.Header, ...] = loop.JSON_HEADERS,
     ) -> None:
-        """Answer a call with the era of the state."""
+        """Answer a call with the era of the state in a header."""
         era = messages.Header(name="Store-Era", value=str(self.state.era))
         super().answer(call, status, body, headers=(*headers, era))
 
@@ -133,12 +133,12 @@
                 ttl_time = msgspec.json.decode(req.body)["ttl_time"]
                 ttl_s = int(ttl_time.removesuffix("ms")) / 1000
                 lease = self.state.grant_lease(clock.now(), ttl_s)
-                self._complete_write(req, {"lease": lease, "ttl_time": ttl_time})
+                self._finish(req, {"lease": lease, "ttl_time": ttl_time})
             case "POST", _ if req.path.startswith("/api/kv-keep/"):
                 self._renew_lease(req)
             case "DELETE", _ if req.path.startswith("/api/kv-lease-end/"):
                 ended = self.state.end_lease(trailing_number(req.path))
-                self._complete_write(req, {}, 200 if ended else 404)
+                self._finish(req, {}, 200 if ended else 404)
             case _:
                 self.answer(req.call, 404, {})
 
@@ -185,7 +185,7 @@
             return
         found = self.state.transact(transaction.get("expected_rev", []), put, remove)
         if isinstance(found, int):
-            self._complete_write(req, {"revision": found})
+            self._finish(req, {"revision": found})
             return
         items = [item_json(one) for one in found if one is not None]
         self.answer(req.call, 412, {"items": items})
@@ -195,11 +195,9 @@
         if ttl_s is None:
             self.answer(req.call, 404, {})
             return
-        self._complete_write(req, {"ttl_time": f"{int(ttl_s * 1000)}ms"})
+        self._finish(req, {"ttl_time": f"{int(ttl_s * 1000)}ms"})
 
-    def _complete_write(
-        self, req: loop.Request, answer: object, status: int = 200
-    ) -> None:
+    def _finish(self, req: loop.Request, answer: object, status: int = 200) -> None:
         self._notify_watchers()
         if self.fault is Fault.LOST:
             self.abort(req.call)
@@ -212,17 +210,15 @@
                 del self.watchers[call]
 
     def _notify(self, watcher: Watcher) -> bool:
-        """Answer a watch if there is something to tell; return whether it was."""
+        """Answer a watch that has changes or timed out; return whether it did."""
         changes = self.state.changes_since(watcher.prefix, watcher.after)
         if changes is None:
             self.answer(watcher.call, 410, {})
             return True
         if not changes and clock.now() < watcher.deadline:
             return False
-        change_events = [event_json(one) for one in changes]
-        self.answer(
-            watcher.call, 200, {"events": change_events, "at": self.state.revision}
-        )
+        events = [event_json(one) for one in changes]
+        self.answer(watcher.call, 200, {"events": events, "at": self.state.revision})
         return True
 
     def _expire_leases(self) -> None:
@@ -232,29 +228,29 @@
 
 
 PAGE_SIZE = 500
-"""Items on one page of a range."""
+"""Maximum items on one page of a range."""
 
 
 def item_json(item: kv_state.Item) -> dict[str, object]:
-    """Return an item as the store shows it."""
+    """Return the JSON form of an item."""
     return {
         "tls_key": item.key,
         "value": item.value,
         "revision": item.revision,
-        "made": item.created,
+        "made": item.made,
         "lease": item.lease,
     }
 
 
 def event_json(change: kv_state.Change) -> dict[str, object]:
-    """Return a change as a watch tells it."""
+    """Return the JSON form of a change in a watch response."""
     if change.value is None:
         return {"tls_key": change.key, "revision": change.revision, "gone": True}
     return {
         "tls_key": change.key,
         "value": change.value,
         "revision": change.revision,
-        "made": change.created,
+        "made": change.made,
         "lease": change.lease,
     }
 
--- a/ferrydeck/standins/loop.py
+++ b/ferrydeck/standins/loop.py
@@ -1,4 +1,4 @@
-"""The loop of a stand-in: HTTP servers and timers on circuits."""
+"""The event loop of a stand-in: HTTP servers and timers on circuits."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.define(kw_only=True, frozen=True)
 class Request:
-    """A request to a stand-in, taken apart."""
+    """A parsed HTTP request to a stand-in."""
 
     call: int
     port: int
@@ -34,7 +34,7 @@
 
 
 class Loop(circuits.BaseComponent):
-    """Serves HTTP on some ports and runs actions at their time."""
+    """Serves HTTP on some ports and runs timers."""
 
     channel = "standin"
 
@@ -57,14 +57,14 @@
             self.servers[port] = server
 
     def handle_request(self, req: Request) -> None:
-        """Act on a request."""
+        """Handle a request."""
         raise NotImplementedError
 
     def handle_disconnect(self, call: int) -> None:
-        """Act on a caller that went away."""
+        """Handle the disconnect of a client."""
 
     def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Run an action after some time."""
+        """Run an action after a delay."""
         due_at = clock.now() + delay_s
         heapq.heappush(self.timers, (due_at, next(self.sequence_numbers), action))
 
--- a/ferrydeck/standins/main.py
+++ b/ferrydeck/standins/main.py
@@ -1,4 +1,4 @@
-"""`ferrydeck-standin`: starts a stand-in for the platform or for a target."""
+"""The `ferrydeck-standin` command, which runs one stand-in."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     root = argparse.ArgumentParser(
         prog="ferrydeck-standin",
-        description="Small stand-ins for the demo and the tests.",
+        description="Run a stand-in service for the demo and the tests.",
         epilog="example: ferrydeck-standin target --port 7101 --slots 20",
     )
     subparsers = root.add_subparsers(dest="kind", required=True)
-    platform_parser = subparsers.add_parser("platform", help="the key-value service")
-    platform_parser.add_argument("--port", type=int, action="append", required=True)
-    target_parser = subparsers.add_parser("target", help="a back end")
-    target_parser.add_argument("--port", type=int, required=True)
-    target_parser.add_argument("--slots", type=int, default=100)
-    target_parser.add_argument("--service-ms", type=float, default=5.0)
-    target_parser.add_argument("--cold-start-s", type=float, default=0.0)
-    target_parser.add_argument("--local", default="", help="local endpoint, IP:PORT")
-    store_parser = subparsers.add_parser("store", help="the platform's store")
-    store_parser.add_argument("--port", type=int, required=True)
-    server_parser = subparsers.add_parser("server", help="a server of the platform")
-    server_parser.add_argument("--port", type=int, required=True)
-    server_parser.add_argument("--service", required=True)
-    server_parser.add_argument("--zone", default="hall-a")
-    server_parser.add_argument("--reports", required=True, help="a daemon, IP:PORT")
-    server_parser.add_argument("--slots", type=int, default=8)
-    server_parser.add_argument("--work-ms", type=float, default=2.0)
-    server_parser.add_argument("--instance", default="", help="its id; none: a new one")
-    for one in (platform_parser, target_parser, store_parser, server_parser):
+    platform_cmd = subparsers.add_parser("platform", help="the key-value service")
+    platform_cmd.add_argument("--port", type=int, action="append", required=True)
+    target_cmd = subparsers.add_parser("target", help="a backend")
+    target_cmd.add_argument("--port", type=int, required=True)
+    target_cmd.add_argument("--slots", type=int, default=100)
+    target_cmd.add_argument("--service-ms", type=float, default=5.0)
+    target_cmd.add_argument("--cold-start-s", type=float, default=0.0)
+    target_cmd.add_argument("--local", default="", help="local endpoint, IP:PORT")
+    store_cmd = subparsers.add_parser("store", help="the platform's store")
+    store_cmd.add_argument("--port", type=int, required=True)
+    server_cmd = subparsers.add_parser("server", help="an application server")
+    server_cmd.add_argument("--port", type=int, required=True)
+    server_cmd.add_argument("--service", required=True)
+    server_cmd.add_argument("--zone", default="hall-a")
+    server_cmd.add_argument("--reports", required=True, help="daemon address, IP:PORT")
+    server_cmd.add_argument("--slots", type=int, default=8)
+    server_cmd.add_argument("--work-ms", type=float, default=2.0)
+    server_cmd.add_argument("--instance", default="", help="instance id; default: new")
+    for one in (platform_cmd, target_cmd, store_cmd, server_cmd):
         one.add_argument("--ip", default="127.0.0.1")
     return root
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run `ferrydeck-standin` until it is ended."""
+    """Run `ferrydeck-standin` until it is terminated."""
     args = parser().parse_args(argv)
     if args.kind == "store":
         kv_store.KvStore(ip=args.ip, port=args.port).run()
--- a/ferrydeck/standins/platform.py
+++ b/ferrydeck/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's key-value service, with faults that tests set."""
+"""A stand-in for the platform's key-value service with fault injection."""
 
 from __future__ import annotations
 
@@ -12,38 +12,38 @@
 
 @attrs.define(kw_only=True)
 class Faults:
-    """What is wrong with the service; sent as JSON to `/_faults`."""
+    """The injected faults; set by JSON sent to `/_faults`."""
 
     down: bool = False
     slow_s: float = 0.0
     lose_answers: int = 0
-    """So many writes to come take effect, but their answers are lost."""
+    """Number of upcoming writes that are applied but whose responses are lost."""
     stale: bool = False
-    """Reads answer what was there when this was first set."""
+    """Reads return the values as of the time when this was first set."""
     cut_ports: tuple[int, ...] = ()
-    """Ports that give no answer: the callers there are cut off."""
+    """Ports that don't answer, which partitions their clients from the platform."""
     list_lag_s: float = 0.0
 
 
 @attrs.define(kw_only=True)
-class PendingWatch:
-    """A watch that waits."""
+class Watcher:
+    """A watch that waits for a change."""
 
     call: int
     request: platform.Watch
 
 
 class Platform(loop.Loop):
-    """The store over HTTP, on a port for each data centre."""
+    """Serves the store over HTTP on one port for each data centre."""
 
     def __init__(self, *, ip: str, ports: list[int]) -> None:
         super().__init__(ip=ip, ports=ports)
         self.store = store.Store()
-        self.pending_watches: dict[int, PendingWatch] = {}
+        self.watchers: dict[int, Watcher] = {}
         self.faults = Faults()
 
     def handle_request(self, req: loop.Request) -> None:
-        """Answer a request, as far as the faults let it through."""
+        """Handle a request, subject to the faults."""
         if req.path.startswith("/_"):
             self._handle_control(req)
         elif self.faults.down or req.port in self.faults.cut_ports:
@@ -54,8 +54,8 @@
             self._serve(req)
 
     def handle_disconnect(self, call: int) -> None:
-        """Forget the watch of a caller that went away."""
-        self.pending_watches.pop(call, None)
+        """Remove the watch of a disconnected client."""
+        self.watchers.pop(call, None)
 
     def _handle_control(self, req: loop.Request) -> None:
         match req.path:
@@ -89,14 +89,12 @@
             self.answer(req.call, 404, {})
             return
         if isinstance(request, platform.Watch) and self._is_unchanged(request):
-            self.pending_watches[req.call] = PendingWatch(
-                call=req.call, request=request
-            )
+            self.watchers[req.call] = Watcher(call=req.call, request=request)
             self.call_later(request.wait_s, lambda: self._end_watch(req.call))
             return
         result = self.store.apply(clock.now(), request)
         if isinstance(result, platform.Written):
-            self._answer_watches(request.key)
+            self._notify_watchers(request.key)
             if self.faults.lose_answers:
                 self.faults.lose_answers -= 1
                 self.abort(req.call)
@@ -118,14 +116,14 @@
         return self.store.version(request.key) == request.after_version
 
     def _end_watch(self, call: int) -> None:
-        watch = self.pending_watches.pop(call, None)
-        if watch is not None:
-            self._answer(call, self.store.apply(clock.now(), watch.request))
+        watcher = self.watchers.pop(call, None)
+        if watcher is not None:
+            self._answer(call, self.store.apply(clock.now(), watcher.request))
 
-    def _answer_watches(self, key: str) -> None:
+    def _notify_watchers(self, key: str) -> None:
         changed = [
             one.call
-            for one in self.pending_watches.values()
+            for one in self.watchers.values()
             if one.request.key == key and not self._is_unchanged(one.request)
         ]
         for call in changed:
@@ -133,7 +131,7 @@
 
 
 def parse_request(req: loop.Request) -> platform.Request | None:
-    """Return what a request over HTTP asks for; `None` where it is nothing known."""
+    """Return the platform request of an HTTP request, `None` if it is unknown."""
     kind, _, key = req.path[1:].partition("/")
     query = req.query
     match req.method, kind:
--- a/ferrydeck/standins/port_range.py
+++ b/ferrydeck/standins/port_range.py
@@ -1,7 +1,7 @@
-"""Ports for the processes of a fleet, which no other process hands out.
+"""Allocates ports for a fleet's processes from a range reserved by this process.
 
-Owns a range of ports of this process, below those that the kernel hands out. The
-range is held by a bound socket, so it is free again as soon as the process ends.
+The range is below the kernel's ephemeral ports. A bound socket reserves it, so it is
+released as soon as the process exits.
 """
 
 from __future__ import annotations
@@ -17,18 +17,17 @@
 IP = "127.0.0.1"
 FIRST_PORT = 10_000
 MAX_RANGES = 20
-"""Ranges that can be held at a time: several runs of the tests with four processes."""
+"""Enough for several concurrent test runs with four processes each."""
 RANGE_SIZE = 1000
-"""Ports in a range; the first one is the guard. A port is handed out once, and of the
-processes that share all tests one has asked for 500."""
+"""Ports in a range, including the guard. Each port is allocated once per process, and
+a run of all tests needs about 500 in one process."""
 
 
 def claim_ports(first: int) -> socket.socket | None:
-    """Hold the range of ports that begins at `first` for as long as this process runs.
+    """Reserve the range of ports that begins at `first` while this process runs.
 
-    Two processes that share a range give one port to two fleets: the daemon that
-    binds second ends, and its callers reach the other fleet's box, which goes away
-    in the middle of their calls. The guard is bound without address reuse, so the
+    Without the guard, two processes could allocate the same port and a test could
+    reach a box of another fleet. The guard is bound without address reuse, so the
     kernel refuses it to a second process.
     """
     guard = socket.socket()
@@ -42,21 +41,21 @@
 
 @attrs.define(kw_only=True)
 class PortRange:
-    """The ports that this process alone hands out."""
+    """A range of ports reserved by this process."""
 
     guard: socket.socket
     ports: Iterator[int]
 
 
 def claim_free_range() -> PortRange:
-    """Return the first range that no other process holds, from this process's id on."""
+    """Reserve the first free range, starting at an index from the process id."""
     for offset in range(MAX_RANGES):
         index = (os.getpid() + offset) % MAX_RANGES
         first = FIRST_PORT + index * RANGE_SIZE
         if (guard := claim_ports(first)) is not None:
             ports = iter(range(first + 1, first + RANGE_SIZE))
             return PortRange(guard=guard, ports=ports)
-    raise OSError(f"all {MAX_RANGES} ranges of ports are held")
+    raise OSError(f"all {MAX_RANGES} port ranges are reserved by other processes")
 
 
 @functools.cache
@@ -65,9 +64,9 @@
 
 
 def free_port() -> int:
-    """Return a port that is free, below those that the kernel hands out.
+    """Return a free port of this process's range.
 
-    Raises `OSError` where the range of this process has no further one.
+    Raises `OSError` if the range is exhausted.
     """
     for port in _range().ports:
         with socket.socket() as probe:
@@ -75,4 +74,4 @@
             with contextlib.suppress(OSError):
                 probe.bind((IP, port))
                 return port
-    raise OSError(f"all {RANGE_SIZE} ports of this process's range were handed out")
+    raise OSError(f"all {RANGE_SIZE} ports of this process's range are allocated")
--- a/ferrydeck/standins/sample.py
+++ b/ferrydeck/standins/sample.py
@@ -1,4 +1,4 @@
-"""The sample policy of the two deployments, for the demo and the tests."""
+"""A sample bundle for two deployments, used by the demo and the tests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     "audio-delivery": (250, 1500),
     "publishing": (50, 400),
 }
-"""Slots and connections of one server of each service."""
+"""Slots and connections per server of each service."""
 
 CLASSES = {
     "payment-posting": 0,
@@ -38,7 +38,7 @@
     ("publishing", "POST", "/episodes", "publish", False, 3000),
     ("publishing", "GET", "/feeds", "lookup", True, 1000),
 )
-"""Service, method, path, class, repeatable, deadline in ms."""
+"""Service, method, path, class, whether it is repeatable, and deadline in ms."""
 
 
 def bundle_toml(
@@ -51,7 +51,7 @@
     allowance: int = 3,
     classes: dict[str, int] | None = None,
 ) -> str:
-    """Return a bundle with both deployments' services."""
+    """Return a bundle with the services of both deployments in TOML."""
     lines = [f"version = {version}", f'parent = "{parent}"', "", "[retry]"]
     lines += [f"allowance = {allowance}", "", "[once]", f"lease_s = {lease_s}"]
     lines += [f"resend_window_s = {resend_window_s}"]
--- a/ferrydeck/standins/store.py
+++ b/ferrydeck/standins/store.py
@@ -1,4 +1,4 @@
-"""The key-value store behind the stand-ins of the platform: no input or output."""
+"""The in-memory key-value store of the platform stand-ins."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @attrs.define(kw_only=True)
 class Value:
-    """A key's value."""
+    """A versioned value with an optional expiry time."""
 
     text: str
     version: int
@@ -20,25 +20,25 @@
 
 @attrs.define(kw_only=True)
 class Store:
-    """Compare-and-swap, lives of keys, and reads that can be made stale."""
+    """A key-value store with compare-and-swap, expiry and optional stale reads."""
 
     values: dict[str, Value] = attrs.Factory(dict)
     boxes: tuple[platform.ListedBox, ...] = ()
     snapshot: dict[str, Value] | None = None
-    """What reads show instead of the values, where they are stale."""
+    """Values that stale reads return."""
     first_snapshot: dict[str, Value] | None = None
     revision: int = 0
     reads: int = 0
     writes: int = 0
 
     def make_stale(self) -> None:
-        """Have reads show what was there when this was first called."""
+        """Make reads return the values as of the first call of this method."""
         if self.first_snapshot is None:
             self.first_snapshot = copy.deepcopy(self.values)
         self.snapshot = self.first_snapshot
 
     def apply(self, now: float, request: platform.Request) -> platform.Result:
-        """Carry out a request; a watch is answered as a read."""
+        """Execute a request; a watch is answered like a read."""
         self._expire(now)
         if isinstance(request, platform.Write):
             return self._write(now, request)
@@ -52,7 +52,7 @@
                 return self._read(request.key)
 
     def version(self, key: str) -> int:
-        """Return the version of a key as reads show it; 0 where it is absent."""
+        """Return the version of a key as reads see it, 0 if it is absent."""
         value = self._visible().get(key)
         return value.version if value else 0
 
@@ -93,5 +93,5 @@
 
 
 def to_entry(key: str, value: Value) -> platform.Entry:
-    """Return a key as the platform sends it."""
+    """Return the platform's entry for a key and its value."""
     return platform.Entry(key=key, value=value.text, version=value.version)
--- a/ferrydeck/standins/target.py
+++ b/ferrydeck/standins/target.py
@@ -1,8 +1,8 @@
-"""A stand-in for a target: slots, a cold start, shedding, nested calls, effects.
+"""A stand-in for a target with slots, cold start, load shedding and nested calls.
 
-The query of a request says what its work is: `ms` of service time, `size` of
-the answer in bytes, `call` of the paths (with commas between) that are called
-through the local endpoint first, `status` of the answer.
+Query parameters of a request: `ms` is the service time, `size` the response size in
+bytes, `call` lists nested paths separated by commas, which are called through the
+local endpoint first, and `status` is the response status.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @attrs.define(kw_only=True)
 class Behaviour:
-    """How the target behaves; sent as JSON to `/_set`."""
+    """The target's behaviour; changed by JSON sent to `/_set`."""
 
     slots: int = 100
     service_ms: float = 5.0
@@ -36,13 +36,13 @@
     shedding: bool = False
     drain: bool = False
     break_after: int = 0
-    """Bytes of a long answer after which the connection breaks; 0 for never."""
+    """Bytes of a long response after which the connection is closed; 0 disables it."""
     load_lag_s: float = 1.0
 
 
 @attrs.define(kw_only=True)
 class Effect:
-    """One piece of work that was started."""
+    """One execution of a request, which may have side effects."""
 
     key: str
     path: str
@@ -52,7 +52,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Work:
-    """A request on its way through the target."""
+    """A request that is queued or running at the target."""
 
     req: loop.Request
     nested: list[str]
@@ -62,7 +62,7 @@
 
 
 class Target(loop.Loop):
-    """A back end on the loopback address beside a daemon."""
+    """A backend on the loopback address of a daemon's box."""
 
     def __init__(
         self, *, ip: str, ports: list[int], behaviour: Behaviour, local: str
@@ -88,7 +88,7 @@
             self.local.register(self)
 
     def handle_request(self, req: loop.Request) -> None:
-        """Take a request, or answer one of the tests."""
+        """Queue a request, or handle a control call."""
         if req.path.startswith("/_"):
             self._handle_control(req)
             return
@@ -106,7 +106,7 @@
         self._start_waiting()
 
     def handle_disconnect(self, call: int) -> None:
-        """Cancel the work of a caller that went away."""
+        """Cancel the request of a disconnected client."""
         work = self.active.get(call)
         if work is not None:
             self._end(work)
@@ -133,7 +133,7 @@
         return self.reported_load[1]
 
     def _slots(self) -> int:
-        """Return the slots open now: fewer while the target is cold."""
+        """Return the available slots, which are fewer during the cold start."""
         age = clock.now() - self.started_at
         if age >= self.behaviour.cold_start_s:
             return self.behaviour.slots
@@ -161,7 +161,7 @@
         self.call_later(delay_s, lambda: self._run_nested_calls(work))
 
     def _run_nested_calls(self, work: Work) -> None:
-        """Make the nested calls one by one, then answer."""
+        """Send the nested calls in sequence, then answer."""
         if work.ended:
             return
         if not work.nested or self.local is None:
@@ -202,7 +202,7 @@
         self._end(work)
 
     def _reply_long(self, work: Work, size: int) -> None:
-        """Answer with a long body, all of it or from an offset on."""
+        """Answer with a long body, or its part from the offset of a Range header."""
         body = numbered_body(size)
         etag = messages.Header(name="etag", value=f'"{size}"')
         requested = headers.get(work.req.headers, headers.RANGE)
@@ -226,7 +226,7 @@
         headers_sent: tuple[messages.Header, ...],
         body: bytes,
     ) -> None:
-        """Send a part of a body and close the connection."""
+        """Send the start of a body and close the connection."""
         server = self.servers[work.req.port]
         conn = server.by_call[work.req.call]
         plain = fields.to_fields(headers_sent)
@@ -246,7 +246,7 @@
 
 @functools.lru_cache(maxsize=8)
 def numbered_body(size: int) -> bytes:
-    """Return a body of which every part differs from every other."""
+    """Return a body of numbered lines, no two of which are equal."""
     line = 16
     count = -(-size // line)
     return b"".join(b"%015d\n" % number for number in range(count))[:size]
--- a/tests/promises/test_at_most_once.py
+++ b/tests/promises/test_at_most_once.py
@@ -298,7 +298,7 @@
     # Twenty postings one after the other may outlast a window of seconds on a busy
     # machine; the later ones are then new keys to the successor, and rightly run.
     made = worlds.ledger_world()
-    quarantine_s = worlds.parse_bundle(worlds.LEDGER).quarantine_s
+    quarantine_s = worlds.parse(worlds.LEDGER).quarantine_s
     mine = keys_of(made, "north-ledger", 2)
     for key in mine:
         posting(made, "north-entry", key)
@@ -320,7 +320,7 @@
 def test_a_queued_posting_does_not_start_after_the_lease():
     made = world.World(seed=1)
     bundle = worlds.LEDGER.replace("deadline_ms = 1000", "deadline_ms = 9000")
-    made.activate_bundle(worlds.parse_bundle(bundle))
+    made.activate(worlds.parse(bundle))
     made.add_box("north-entry", "north")
     made.add_box("north-ledger", "north", service="payments-ledger", slots=4)
     made.run(3)
--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -237,7 +237,7 @@
 
     def signed(version):
         text = worlds.LEDGER.replace("version = 1", f"version = {version}")
-        body = bundles.canonical_body(worlds.parse_bundle(text)).decode()
+        body = bundles.canonical_body(worlds.parse(text)).decode()
         one = signing.sign(
             signing.SignedBundle(body=body), signer="akosua", secret=secret
         )
--- a/tests/unit/test_config.py
+++ b/tests/unit/test_config.py
@@ -98,7 +98,7 @@
 
 
 def test_the_canonical_form_round_trips():
-    bundle = worlds.parse_bundle(sample.bundle_toml())
+    bundle = worlds.parse(sample.bundle_toml())
     signed = signing.SignedBundle(body=bundles.canonical_body(bundle).decode())
     verified = signing.verify(signing.encode(signed), signers=(), needed=0, name="test")
     assert verified.bundle == bundle
@@ -106,14 +106,14 @@
 
 
 def test_a_body_that_is_not_canonical_is_rejected():
-    body = bundles.canonical_body(worlds.parse_bundle(worlds.LEDGER)).decode()
+    body = bundles.canonical_body(worlds.parse(worlds.LEDGER)).decode()
     signed = signing.SignedBundle(body=body.replace(":", ": "))
     rejected = signing.verify(signing.encode(signed), signers=(), needed=0, name="test")
     assert keys_of(rejected) == ["body"]
 
 
 def test_the_quarantine_includes_window_deadline_and_lease():
-    bundle = worlds.parse_bundle(worlds.LEDGER)
+    bundle = worlds.parse(worlds.LEDGER)
     assert bundle.quarantine_s == 3 + 1 + 2
     longer = attrs.evolve(bundle, once=attrs.evolve(bundle.once, lease_s=10))
     assert longer.quarantine_s == 3 + 1 + 10
--- a/tests/unit/test_core.py
+++ b/tests/unit/test_core.py
@@ -93,9 +93,7 @@
 
 def test_shards_are_rebalanced_soon_even_with_a_long_lease():
     sim = world.World(seed=1)
-    sim.activate_bundle(
-        worlds.parse_bundle(worlds.LEDGER.replace("lease_s = 2", "lease_s = 3600"))
-    )
+    sim.activate(worlds.parse(worlds.LEDGER.replace("lease_s = 2", "lease_s = 3600")))
     sim.add_box("first", "north", service="payments-ledger", slots=4)
     sim.run(3)
     assert len(sim.boxes["first"].core.shard_owner.owned) == 32
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -49,11 +49,9 @@
         entry = f"port = {box.ports['entry']}"
         box.settings.write_text(text.replace(entry, f"port = {port}"))
         ours.restart(box)
-        assert (
-            box.daemon.popen.wait(fleet.START_TIMEOUT_S) == program.EXIT_ADDRESS_IN_USE
-        )
+        assert box.daemon.popen.wait(fleet.TIMEOUT_S) == program.EXIT_ADDRESS_IN_USE
         assert "address already in use:" in box.daemon.log.read_text()
-        with pytest.raises(AssertionError, match="north-entry has ended with 3"):
+        with pytest.raises(AssertionError, match="north-entry exited with code 3"):
             ours.wait_ready(shards=False)
 
 
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -47,7 +47,7 @@
 POSTING = "/payments-ledger/postings"
 
 
-def parse_bundle(text: str) -> bundles.Bundle:
+def parse(text: str) -> bundles.Bundle:
     bundle = bundles.parse(tomllib.loads(text), findings.Report(file="test"))
     assert isinstance(bundle, bundles.Bundle), str(bundle)
     return bundle
@@ -56,7 +56,7 @@
 def ledger_world(seed: int = 1, text: str = LEDGER) -> world.World:
     """Two data centres, each with an entry box and a ledger box."""
     made = world.World(seed=seed)
-    made.activate_bundle(parse_bundle(text))
+    made.activate(parse(text))
     for name in ("north", "south"):
         made.add_box(f"{name}-entry", name)
         made.add_box(f"{name}-ledger", name, service="payments-ledger", slots=4)
@@ -71,7 +71,7 @@
 ) -> world.World:
     """Return a world with the sample bundle and no boxes yet."""
     made = world.World(seed=seed, policy=policy)
-    made.activate_bundle(parse_bundle(sample.bundle_toml(**changes)))
+    made.activate(parse(sample.bundle_toml(**changes)))
     return made
 
 
