--- a/ferrydeck/commands/audit.py
+++ b/ferrydeck/commands/audit.py
@@ -1,4 +1,4 @@
-"""`ferrydeck audit`: the audit trails of daemons, in order of time."""
+"""`ferrydeck audit`: show the audit trails of daemons, ordered by time."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 def configure(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments."""
     parser.add_argument("admin", nargs="+", help="admin endpoints, IP:PORT")
-    parser.add_argument("--action", help="show this kind of change only")
+    parser.add_argument("--action", help="show only this action")
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Merge the trails of the daemons by time."""
+    """Merge the daemons' audit trails by time."""
     entries, unreachable = [], []
     for address in args.admin:
         try:
--- a/ferrydeck/commands/call.py
+++ b/ferrydeck/commands/call.py
@@ -1,4 +1,4 @@
-"""`ferrydeck call`: send one call through an entry daemon."""
+"""`ferrydeck call`: send a call through an entry daemon."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """Declare the arguments."""
     parser.add_argument("entry", help="entry endpoint, IP:PORT")
     parser.add_argument("path", help="/SERVICE/PATH")
-    parser.add_argument("--post", metavar="BODY", help="POST this body, not GET")
+    parser.add_argument("--post", metavar="BODY", help="send this body as a POST")
     parser.add_argument("--key", help="Idempotency-Key")
-    parser.add_argument("--deadline-ms", type=int, help="time to wait, ms")
+    parser.add_argument("--deadline-ms", type=int, help="deadline in ms")
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Send the call; show its outcome, box, attempts and time."""
+    """Send the call and show its outcome, box, attempts and duration."""
     fields = {}
     if args.key:
         fields[headers.IDEMPOTENCY_KEY] = args.key
@@ -41,7 +41,7 @@
             timeout_s=(args.deadline_ms or 60_000) / 1000 + TIMEOUT_MARGIN_S,
         )
     except (OSError, http.client.HTTPException) as exc:
-        return outcomes.NotKnown(text=f"{args.entry} no whole answer: {exc!r}")
+        return outcomes.NotKnown(text=f"{args.entry} no complete response: {exc!r}")
     data = {
         "outcome": answer.headers.get(headers.OUTCOME, ""),
         "status": answer.status,
--- a/ferrydeck/commands/check.py
+++ b/ferrydeck/commands/check.py
@@ -1,4 +1,4 @@
-"""`ferrydeck check`: check a settings file, a bundle or a policy of the store."""
+"""`ferrydeck check`: validate a settings file, a bundle or a policy of the store."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     """Declare the arguments."""
     parser.add_argument(
         "file",
-        help="settings of a daemon, or a bundle, in TOML; or a policy as the "
-        "platform's store holds it, in JSON",
+        help="daemon settings or a bundle in TOML, or a policy in JSON as in the "
+        "platform's store",
     )
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Check the file and report all findings."""
+    """Validate the file and report all findings."""
     raw = files.read_bytes(args.file)
     kind, loaded = load(args.file, raw)
     if isinstance(loaded, findings.Rejected):
@@ -37,7 +37,7 @@
 
 
 def load(name: str, raw: bytes) -> tuple[str, object]:
-    """Return what kind of file it is, and what was read or is wrong with it."""
+    """Return the kind of the file and its parsed content or findings."""
     if raw.lstrip().startswith(b"{"):
         return "policy", manifest.read(raw, name)
     try:
--- a/ferrydeck/commands/client.py
+++ b/ferrydeck/commands/client.py
@@ -1,4 +1,4 @@
-"""HTTP from the tool: the admin endpoints of daemons, and the platform."""
+"""HTTP client of the commands for admin endpoints and the platform."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Response:
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     headers: Mapping[str, str]
@@ -35,9 +35,9 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = TIMEOUT_S,
 ) -> Response:
-    """Send one request and return the whole answer.
+    """Send one request and return the complete response.
 
-    Raises `OSError` or `http.client.HTTPException` where none comes.
+    Raises `OSError` or `http.client.HTTPException` on failure.
     """
     host, port = sockets.split_address(address)
     conn = http.client.HTTPConnection(host, port, timeout=timeout_s)
@@ -52,13 +52,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class PlatformClient:
-    """The platform as the tool sees it: one request, one result, no state."""
+    """A stateless client of the platform's store."""
 
     address: str
     timeout_s: float = TIMEOUT_S
 
     def send(self, request: platform.Request) -> platform.Result:
-        """Send a request once."""
+        """Send a request without retries."""
         request_line = platform_client.to_http(request)
         try:
             response = fetch(
@@ -73,11 +73,11 @@
         return platform_client.from_http(request, response.status, response.body)
 
     def read(self, key: str) -> platform.Found | platform.Absent:
-        """Read a key, again where no answer comes.
+        """Read a key, with retries.
 
-        Raises `PlatformUnreachable` where none comes at all.
+        Raises `PlatformUnreachable` if all attempts fail.
         """
-        result: platform.Result = platform.NoAnswer(detail="not asked")
+        result: platform.Result = platform.NoAnswer(detail="not sent")
         for _ in range(MAX_ATTEMPTS):
             result = self.send(platform.Read(key=key))
             if isinstance(result, platform.Found | platform.Absent):
--- a/ferrydeck/commands/drain.py
+++ b/ferrydeck/commands/drain.py
@@ -1,4 +1,4 @@
-"""`ferrydeck drain`: have a daemon take no new work, and wait for the rest."""
+"""`ferrydeck drain`: stop a daemon's new work and wait for work in flight."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     """Declare the arguments."""
     parser.add_argument("admin", help="admin endpoint, IP:PORT")
     parser.add_argument(
-        "--wait-s", type=float, default=30.0, help="how long to wait, seconds"
+        "--wait-s", type=float, default=30.0, help="maximum wait in seconds"
     )
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Ask for the drain and wait until nothing is in flight."""
+    """Start the drain and wait until nothing is in flight."""
     try:
         client.fetch(args.admin, "POST", "/drain")
         deadline = clock.now() + args.wait_s
@@ -46,5 +46,5 @@
 
 
 def is_drained(table: dict[str, object]) -> bool:
-    """Return whether nothing is in flight and no shard is left."""
+    """Return whether nothing is in flight and no shard is owned."""
     return not (table["jobs"] or table["callers_waiting"] or table["shards"])
--- a/ferrydeck/commands/explain.py
+++ b/ferrydeck/commands/explain.py
@@ -1,4 +1,4 @@
-"""`ferrydeck explain`: find in daemons' logs what became of a request."""
+"""`ferrydeck explain`: find the outcome of a request and its cause in daemon logs."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 EXAMPLE = "ferrydeck explain 9c41d07be2a35f68 box-1.log box-2.log"
 
 CAUSES_BY_RESULT = {
-    ("refused", "overload"): "refused: every gate asked had no slot in time",
-    ("refused", "pressure"): "refused: what its run needs is short of room, or fails",
-    ("refused", "no-server"): "refused: no gate of the service took work",
-    ("refused", "closed"): "refused: the gates asked were closing",
-    ("refused", "server-refused"): "refused: the server said that it did not run it",
-    ("refused", "timeout"): "refused: its time was over before a server had it",
-    ("refused", "expired"): "refused: too little time was left",
+    ("refused", "overload"): "refused: no daemon asked had a slot in time",
+    ("refused", "pressure"): "refused: a downstream service lacked capacity or failed",
+    ("refused", "no-server"): "refused: no daemon of the service accepted requests",
+    ("refused", "closed"): "refused: the daemons asked were shutting down",
+    ("refused", "server-refused"): "refused: the server reported that it was not run",
+    ("refused", "timeout"): "refused: its deadline passed before a server received it",
+    ("refused", "expired"): "refused: too little time was left before its deadline",
     ("declined", "no-policy"): "refused: the daemon had no policy yet",
     ("declined", "no-route"): "no route for its host and path in the policy in force",
-    ("declined", "no-key"): "refused: the route wants a key and it had none",
-    ("declined", "unknown-key"): "refused: no team holds its key",
+    ("declined", "no-key"): "refused: the route requires an API key and it had none",
+    ("declined", "unknown-key"): "refused: its API key belongs to no team",
     ("declined", "stale-policy"): (
-        "refused: the daemon could not tell whether its key still counts"
+        "refused: the daemon could not verify that its API key is still valid"
     ),
-    ("declined", "allotment"): "refused: its team had used its allotment",
-    ("declined", "stopping"): "refused: the daemon was about to end",
-    ("refused", "condemned"): "refused: as many servers ended under it as is borne",
-    ("declined", "condemned"): "refused: as many servers ended under it as is borne",
-    ("refused", "suspect"): "refused: a server ended under it, and its turn was late",
-    ("unknown", "server-ended"): "its server ended while it ran; it may have run",
-    ("unknown", "condemned"): "as many servers ended under it as is borne",
-    ("unknown", "suspect"): "a server ended under it, and it had no further attempt",
-    ("aborted", "server-ended"): "a long answer broke off as its server ended",
+    ("declined", "allotment"): "refused: its team had used up its quota",
+    ("declined", "stopping"): "refused: the daemon was shutting down",
+    ("refused", "condemned"): "refused: too many servers exited while running it",
+    ("declined", "condemned"): "refused: too many servers exited while running it",
+    ("refused", "suspect"): "refused: a server exited running it; its turn came late",
+    ("unknown", "server-ended"): "its server exited while running it; it may have run",
+    ("unknown", "condemned"): "too many servers exited while running it",
+    ("unknown", "suspect"): "a server exited while running it; no attempt was left",
+    ("aborted", "server-ended"): "its server exited while streaming the response",
     ("unknown", "timeout"): "no answer by its deadline; it may have run",
-    ("unknown", "budget"): "it may have run, and the bound on repeats was reached",
+    ("unknown", "budget"): "it may have run, and the retry budget was exhausted",
     ("unknown", "server-lost"): "the server's answer was lost; it may have run",
-    ("unknown", "link-lost"): "the link to the gate was lost; it may have run",
-    ("unknown", "bad-answer"): "the server's answer was not whole; it may have run",
-    ("aborted", "server-lost"): "a long answer broke off with its server",
-    ("aborted", "link-lost"): "a long answer broke off with the link to its gate",
-    ("caller-gone", ""): "its caller went away",
+    ("unknown", "link-lost"): "the link to the target daemon was lost; it may have run",
+    ("unknown", "bad-answer"): "the server's response was incomplete; it may have run",
+    ("aborted", "server-lost"): "its server was lost while streaming the response",
+    ("aborted", "link-lost"): "the link was lost while streaming the response",
+    ("caller-gone", ""): "its caller disconnected",
 }
-"""What the last line of a request means, by outcome and reason."""
+"""Explanations of a request's final log line, by outcome and reason."""
 
 FINAL_OUTCOMES = frozenset(
     {"answered", "refused", "unknown", "aborted", "declined", "caller-gone"}
@@ -54,14 +54,14 @@
 
 @attrs.define(kw_only=True)
 class RequestHistory:
-    """The lines about one request, in the order of time."""
+    """The log lines about one request, ordered by time."""
 
     request_id: str
     lines: list[dict[str, Any]] = attrs.Factory(list)
 
     @property
     def final(self) -> dict[str, Any] | None:
-        """The line of the request's own final answer."""
+        """The log line of the request's final outcome, excluding nested calls."""
         final_lines = [
             line
             for line in self.lines
@@ -72,10 +72,12 @@
         return final_lines[-1] if final_lines else None
 
     def cause(self) -> str:
-        """Return one sentence on what became of the request."""
+        """Return a sentence that explains the request's outcome."""
         final = self.final
         if final is None:
-            return "unknown: no line of its final answer; is the box's log missing?"
+            return (
+                "unknown: no log line of its final outcome; is the box's log missing?"
+            )
         key = (final["outcome"], final.get("reason", ""))
         if final["outcome"] == "answered":
             return f"answered by a server with status {final.get('reason')}"
@@ -87,18 +89,18 @@
     """Declare the arguments."""
     parser.add_argument("id", help="the request's id")
     parser.add_argument(
-        "files", nargs="*", help="logs of daemons, in any order; none: standard input"
+        "files", nargs="*", help="daemon logs in any order (default: standard input)"
     )
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Print the story of a request and its cause."""
+    """Print the log lines of a request and the cause of its outcome."""
     history = RequestHistory(request_id=args.id)
     reader = lines.LogReader()
     history.lines = [one for one in reader.read(args.files) if concerns(one, args.id)]
     if not history.lines:
         return outcomes.BadInput(
-            text=f"no line about {args.id}: lines of plain outcomes are left out first",
+            text=f"no log line about {args.id}; ordinary outcomes are dropped first",
             data={"unreadable": reader.unreadable},
         )
     history.lines.sort(key=lambda line: line["time"])
@@ -108,13 +110,13 @@
 
 
 def concerns(line: dict[str, Any], request_id: str) -> bool:
-    """Return whether a line is about a request, or a call made for it."""
+    """Return whether a line is about a request or one of its nested calls."""
     line_id = str(line.get("id", ""))
     return line_id == request_id or line_id.startswith(request_id + ".")
 
 
 def format_line(line: dict[str, Any]) -> str:
-    """Return one line of the story."""
+    """Return the printed form of a log line."""
     rest = {
         name: value
         for name, value in line.items()
--- a/ferrydeck/commands/files.py
+++ b/ferrydeck/commands/files.py
@@ -1,4 +1,4 @@
-"""Files that the commands read."""
+"""Reads and validates the input files of commands."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def read_bytes(path: str) -> bytes:
-    """Return what is in a file; raises `BadInput` where it can't be read."""
+    """Return the content of a file; raises `BadInput` if it can't be read."""
     try:
         return pathlib.Path(path).read_bytes()
     except OSError as exc:
@@ -19,7 +19,7 @@
 
 
 def read_settings(path: str) -> settings.Settings:
-    """Return checked settings; raises `BadInput` with all findings."""
+    """Return validated settings; raises `BadInput` with all findings."""
     cfg = settings.load(path)
     if isinstance(cfg, findings.Rejected):
         raise exceptions.BadInput(str(cfg))
@@ -27,7 +27,7 @@
 
 
 def read_bundle(path: str) -> bundles.Bundle:
-    """Return a checked bundle; raises `BadInput` with all findings."""
+    """Return a validated bundle; raises `BadInput` with all findings."""
     bundle = bundles.load(path)
     if isinstance(bundle, findings.Rejected):
         raise exceptions.BadInput(str(bundle))
@@ -35,7 +35,7 @@
 
 
 def read_signed(path: str) -> signing.SignedBundle:
-    """Return a signed bundle, or a bundle in TOML as one without signatures.
+    """Return a signed bundle; one in TOML is returned without signatures.
 
     Raises `BadInput` with all findings.
     """
@@ -50,7 +50,7 @@
 
 
 def read_verified(path: str, cfg: settings.Settings) -> signing.Verified:
-    """Return a signed bundle that a daemon with these settings would take.
+    """Return a signed bundle that is valid for daemons with these settings.
 
     Raises `BadInput` with the findings.
     """
--- a/ferrydeck/commands/keygen.py
+++ b/ferrydeck/commands/keygen.py
@@ -1,4 +1,4 @@
-"""`ferrydeck keygen`: make an operator's key."""
+"""`ferrydeck keygen`: generate an operator's key."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Write the secret key, and print the public one as settings have it."""
+    """Write the secret key and print the public key in settings format."""
     key = ed25519.Ed25519PrivateKey.generate()
     write_new(args.out, key.private_bytes_raw().hex() + "\n")
     public = key.public_key().public_bytes_raw().hex()
@@ -29,7 +29,7 @@
 
 
 def write_new(path: str, text: str) -> None:
-    """Write a file that must not exist yet; raises `BadInput` if it does."""
+    """Create a file; raises `BadInput` if it exists or can't be written."""
     try:
         fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, KEY_MODE)
     except OSError as exc:
--- a/ferrydeck/commands/lines.py
+++ b/ferrydeck/commands/lines.py
@@ -1,4 +1,4 @@
-"""The lines of daemons' logs, as the commands read them."""
+"""Reads the decision logs of daemons."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 @attrs.define(kw_only=True)
 class LogReader:
-    """Reads lines of one or many logs; other text is counted or passed over."""
+    """Parses log lines; skips other text and counts malformed lines."""
 
     unreadable: int = 0
-    """Lines that look like ours and are not."""
+    """Lines that contain a brace but aren't valid log lines."""
 
     def read(self, names: list[str]) -> Iterator[dict[str, Any]]:
-        """Return the lines of some files; of standard input where none is named."""
+        """Yield the log lines of files, or of standard input if none is given."""
         for name in names:
             yield from self.parse(files.read_bytes(name))
         if not names:
             yield from self.parse(sys.stdin.buffer.read())
 
     def parse(self, raw: bytes) -> Iterator[dict[str, Any]]:
-        """Return the lines of a log; what stands before a line's brace is left out."""
+        """Yield the lines of a log, ignoring text before the first brace of each."""
         for text_line in raw.splitlines():
             start = text_line.find(b"{")
             if start < 0:
--- a/ferrydeck/commands/replay.py
+++ b/ferrydeck/commands/replay.py
@@ -1,4 +1,4 @@
-"""`ferrydeck replay`: replay a recorded case through the core."""
+"""`ferrydeck replay`: replay a recorded case through the daemon cores."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 def configure(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments."""
-    parser.add_argument("case", help="a case in TOML; it names its trace")
+    parser.add_argument("case", help="a case in TOML, which names its trace")
     parser.add_argument("--bundle", required=True, help="the bundle in force")
     parser.add_argument("--policy", default="full", choices=sorted(policies.BY_NAME))
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
-        "--scale", type=int, default=1, help="slots and calls times this number"
+        "--scale", type=int, default=1, help="factor for slots and calls"
     )
 
 
@@ -56,7 +56,7 @@
 
 
 def describe(result: player.Result) -> str:
-    """Return a table of what was measured."""
+    """Return a table of the measurements."""
     form = "{:18} {:>7} {:>7} {:>13} {:>14}"
     lines = [form.format("class", "sent", "whole", "sent in fault", "whole in fault")]
     for one in result.classes:
--- a/ferrydeck/commands/review.py
+++ b/ferrydeck/commands/review.py
@@ -1,4 +1,4 @@
-"""`ferrydeck review`: show what a bundle says and what it would change."""
+"""`ferrydeck review`: show a bundle and its changes to the one in force."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 def configure(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments."""
     parser.add_argument("bundle", help="a bundle in TOML, or signed")
-    parser.add_argument("--settings", help="compare with the platform named there")
+    parser.add_argument("--settings", help="settings of the platform to compare with")
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Show the bundle, its digest and its difference from the one in force."""
+    """Show the bundle, its digest and its diff to the one in force."""
     signed = files.read_signed(args.bundle)
     table = json.loads(signed.body)
     lines = [f"version {table['version']}", f"digest  {signed.digest}"]
@@ -35,7 +35,7 @@
 
 
 def current_body(address: str) -> str:
-    """Return the body of the bundle that the platform points to, or nothing."""
+    """Return the body of the bundle in force, empty if there is none."""
     api = client.PlatformClient(address=address)
     pointer = api.read(rollout.POINTER)
     if isinstance(pointer, platform.Absent):
@@ -48,7 +48,7 @@
 
 
 def difference(before: str, after: str) -> list[str]:
-    """Return the lines that differ between two bundles."""
+    """Return a unified diff of two bundles."""
     old = json.dumps(json.loads(before), indent=1).splitlines() if before else []
     new = json.dumps(json.loads(after), indent=1).splitlines()
     return list(difflib.unified_diff(old, new, "in force", "reviewed", lineterm=""))
--- a/ferrydeck/commands/roll.py
+++ b/ferrydeck/commands/roll.py
@@ -1,4 +1,4 @@
-"""`ferrydeck roll`: put a signed bundle in force."""
+"""`ferrydeck roll`: roll out a signed bundle."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Verify the bundle as daemons do, store it, and move the pointer to it."""
+    """Verify the bundle as daemons do, store it and update the pointer."""
     cfg = files.read_settings(args.settings)
     verified = files.read_verified(args.signed, cfg)
     api = client.PlatformClient(
@@ -35,7 +35,7 @@
 
 
 def roll(api: client.PlatformClient, verified: signing.Verified) -> outcomes.Outcome:
-    """Store a verified bundle once, and point to it from its parent only."""
+    """Store a verified bundle and update the pointer if it refers to the parent."""
     pointer = api.read(rollout.POINTER)
     refusal = check_parent(api, pointer, verified)
     if refusal is not None:
@@ -52,20 +52,20 @@
     pointer: platform.Found | platform.Absent,
     verified: signing.Verified,
 ) -> outcomes.Outcome | None:
-    """Return an outcome if the pointer isn't at the bundle's parent."""
+    """Return an outcome unless the pointer refers to the bundle's parent."""
     parent = verified.bundle.parent
     if isinstance(pointer, platform.Absent):
         if not parent:
             return None
-        text = "the platform has no bundle yet, so a bundle has no parent"
+        text = "the platform has no bundle yet, so the first one must have no parent"
         return outcomes.Refused(text=text)
     current = msgspec.json.decode(pointer.entry.value, type=rollout.Pointer)
     if current.digest == verified.digest:
-        return done(verified, "was in force already")
+        return done(verified, "is already in force")
     if current.digest != parent:
         return conflict(api, current)
     if current.version >= verified.bundle.version:
-        text = f"version {current.version} is in force; give a higher one"
+        text = f"version {current.version} is in force; use a higher version"
         return outcomes.Refused(text=text)
     return None
 
@@ -73,7 +73,7 @@
 def store(
     api: client.PlatformClient, verified: signing.Verified
 ) -> outcomes.Outcome | None:
-    """Write the bundle under its version; an outcome if another one is there."""
+    """Store the bundle under its version; return an outcome on failure."""
     key = rollout.bundle_key(verified.bundle.version)
     value = verified.raw.decode()
     for _ in range(MAX_ATTEMPTS):
@@ -93,7 +93,7 @@
 def move_pointer(
     api: client.PlatformClient, verified: signing.Verified, expected: int
 ) -> outcomes.Outcome:
-    """Swap the pointer; after a lost answer read it again."""
+    """Update the pointer by compare-and-swap, reading it again after a failure."""
     pointer = rollout.Pointer(version=verified.bundle.version, digest=verified.digest)
     value = msgspec.json.encode(pointer).decode()
     for _ in range(MAX_ATTEMPTS):
@@ -109,36 +109,36 @@
                 return done(verified, "rolled")
             return conflict(api, current)
         time.sleep(RETRY_INTERVAL_S)
-    return outcomes.NotKnown(text="the pointer: no answer from the platform")
+    return outcomes.NotKnown(text="pointer: no answer from the platform")
 
 
 def done(verified: signing.Verified, action: str) -> outcomes.Done:
-    """Return the outcome of a bundle that is in force."""
+    """Return the outcome for a bundle that is in force."""
     version = verified.bundle.version
     text = f"version {version} digest {verified.digest} {action}"
     return outcomes.Done(text=text, data={"version": version})
 
 
 def conflict(api: client.PlatformClient, current: rollout.Pointer) -> outcomes.Refused:
-    """Return the outcome of a race that another bundle won."""
+    """Return the outcome if the pointer refers to another bundle."""
     found = api.read(rollout.bundle_key(current.version))
     value = found.entry.value if isinstance(found, platform.Found) else "{}"
     return conflict_refusal(current.version, current.digest, value)
 
 
 def version_conflict(version: int, value: str) -> outcomes.Refused:
-    """Return the outcome of a version that another bundle has."""
+    """Return the outcome if another bundle is stored under the version."""
     digest = signing.SignedBundle(body=json.loads(value)["body"]).digest
     return conflict_refusal(version, digest, value)
 
 
 def conflict_refusal(version: int, digest: str, value: str) -> outcomes.Refused:
-    """Name the bundle that stands in the way, and who signed it."""
+    """Return the outcome that names the conflicting bundle and its signers."""
     signers = [one["signer"] for one in json.loads(value).get("signatures", ())]
     text = (
         f"conflict: version {version} digest {digest} "
-        f"signed by {', '.join(signers) or '(unknown)'} goes before this one; "
-        "review against it and sign anew with it as the parent"
+        f"signed by {', '.join(signers) or '(unknown)'} precedes this bundle; "
+        "review against it and sign again with it as the parent"
     )
     data = {"version": version, "digest": digest, "signers": signers}
     return outcomes.Refused(text=text, data=data)
--- a/ferrydeck/commands/sign.py
+++ b/ferrydeck/commands/sign.py
@@ -16,14 +16,14 @@
 
 def configure(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments."""
-    parser.add_argument("bundle", help="a bundle in TOML, or one signed by others")
+    parser.add_argument("bundle", help="a bundle in TOML, or a signed bundle")
     parser.add_argument("--signer", required=True, help="the operator's name")
     parser.add_argument("--key", required=True, help="file with the secret key")
     parser.add_argument("--out", required=True, help="file for the signed bundle")
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Add the operator's signature and write the signed form."""
+    """Add the operator's signature and write the signed bundle."""
     secret = files.read_bytes(args.key).decode("ascii", "replace").strip()
     bundle = files.read_signed(args.bundle)
     try:
--- a/ferrydeck/commands/status.py
+++ b/ferrydeck/commands/status.py
@@ -1,4 +1,4 @@
-"""`ferrydeck status`: how daemons stand."""
+"""`ferrydeck status`: show the status of daemons."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Ask each daemon and show a line for each."""
+    """Show one line for each daemon."""
     lines, data, unreachable = [], {}, False
     for address in args.admin:
         try:
--- a/ferrydeck/commands/summary.py
+++ b/ferrydeck/commands/summary.py
@@ -1,4 +1,4 @@
-"""`ferrydeck summary`: add up refusals, failures and lost dependencies from logs."""
+"""`ferrydeck summary`: count refusals, failures and lost dependencies in logs."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 SERVED_OUTCOMES = frozenset({"answered", "caller-gone"})
 INTERMEDIATE_OUTCOMES = frozenset({"repeated", "not-repeated"})
-"""Lines about requests that go on."""
+"""Outcomes that don't finish a request."""
 LOSS_KINDS = frozenset(
     {"link-lost", "server-lost", "server-ended", "member-lost", "store-lost"}
 )
-"""Kinds of lines that report something as gone."""
+"""Kinds of log lines that report a lost peer, server or store."""
 SECOND_LENGTH = 19
-"""Length of a time stamp up to its seconds."""
+"""Length of a timestamp truncated to seconds."""
 GROUP_FIELDS = ("box", "route", "service", "team")
 
 
 @attrs.define(kw_only=True)
 class Summary:
-    """What was counted, by second."""
+    """Counts of events by second and group."""
 
     group: str
     counts: collections.Counter[tuple[str, ...]] = attrs.Factory(collections.Counter)
     left_out: int = 0
 
     def add(self, line: dict[str, Any]) -> None:
-        """Count a line."""
+        """Count the event that a log line reports."""
         second = str(line["time"])[:SECOND_LENGTH]
         if line["kind"] == "lines-left-out":
             self.left_out += int(line.get("count", 0))
@@ -44,18 +44,18 @@
             self.counts[(second, event_name, str(line.get(self.group, "-")))] += 1
 
     def rows(self) -> list[tuple[str, str, str, int]]:
-        """Return second, what happened, group and count, in the order of time."""
+        """Return second, event, group and count, ordered by time."""
         return [(*key, count) for key, count in sorted(self.counts.items())]
 
     def totals(self) -> list[tuple[str, int]]:
-        """Return what happened how often in all, the most frequent first."""
+        """Return the events and their total counts, the most frequent first."""
         totals: collections.Counter[str] = collections.Counter()
         for (_, event_name, _), count in self.counts.items():
             totals[event_name] += count
         return totals.most_common()
 
     def _event_name(self, line: dict[str, Any]) -> str:
-        """Return a name for what a line reports, empty for what is not counted."""
+        """Return the event that a line reports, empty if it isn't counted."""
         kind, outcome = line["kind"], line.get("outcome", "")
         reason = str(line.get("reason", ""))
         if kind in LOSS_KINDS:
@@ -74,12 +74,12 @@
         "--by", choices=GROUP_FIELDS, default="route", help="what to group by"
     )
     parser.add_argument(
-        "files", nargs="*", help="logs of daemons, in any order; none: standard input"
+        "files", nargs="*", help="daemon logs in any order (default: standard input)"
     )
 
 
 def run(args: argparse.Namespace) -> outcomes.Outcome:
-    """Print what was refused, failed and lost, by second."""
+    """Print refusals, failures and losses by second."""
     reader = lines.LogReader()
     summary = Summary(group=args.by)
     line_count = 0
@@ -87,15 +87,15 @@
         line_count += 1
         summary.add(line)
     if not line_count:
-        return outcomes.BadInput(text="no line of a daemon's log")
+        return outcomes.BadInput(text="no log line of a daemon")
     rows = summary.rows()
     text = [
         f"{second}  {count:6}  {name}  {group}" for second, name, group, count in rows
     ]
     text += [f"in all  {count:6}  {name}" for name, count in summary.totals()]
     text.append(
-        f"{line_count} lines read, {reader.unreadable} not readable; "
-        f"{summary.left_out} were left out by daemons, so counts are the least"
+        f"{line_count} lines read, {reader.unreadable} unreadable; "
+        f"{summary.left_out} omitted by daemons, so the counts are minimums"
     )
     data = {
         "rows": rows,
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -31,7 +31,7 @@
     rows = text.splitlines()
     assert rows[0].startswith("10:00:01 box-2 gate refused")
     assert rows[-1] == (
-        "cause: refused: every gate asked had no slot in time (box box-1, after 62 ms)"
+        "cause: refused: no daemon asked had a slot in time (box box-1, after 62 ms)"
     )
     assert len(rows) == 3
 
@@ -51,10 +51,10 @@
 def test_half_a_story_says_what_is_missing(capsys, tmp_path):
     lines = [line("10:00:01", "box-2", kind="gate", id="a", outcome="broken")]
     _, text = explain(capsys, tmp_path, lines)
-    assert "no line of its final answer" in text
+    assert "no log line of its final outcome" in text
 
 
 def test_an_id_without_lines_is_bad_input(capsys, tmp_path):
     code, text = explain(capsys, tmp_path, [line("10:00:01", "b", id="z")])
     assert code == 2
-    assert "no line about a" in text
+    assert "no log line about a" in text
--- a/tests/unit/test_summary.py
+++ b/tests/unit/test_summary.py
@@ -41,7 +41,7 @@
     assert ["2026-05-17T13:22:01", "1", "link-lost", "silent", "-"] in rows
     assert ["in", "all", "3", "refused", "pressure"] in rows
     assert not [row for row in rows if "repeated" in row or "200" in row]
-    assert text.splitlines()[-1].startswith("8 lines read, 1 not readable; 7 were")
+    assert text.splitlines()[-1].startswith("8 lines read, 1 unreadable; 7 omitted")
 
 
 def test_counts_are_told_by_box_and_as_json(capsys, tmp_path):
