--- a/scripts/capacity.py
+++ b/scripts/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes for docs/CAPACITY.md: what idle daemons cost, by the number of daemons."""
+"""Measures the cost of idle daemons by their number, for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from ferrydeck.commands import client
 from ferrydeck.standins import fleet, sample
 
-SPAN_S = 15.0
+MEASUREMENT_S = 15.0
 SETTLE_S = 5.0
 
 
 @attrs.define(kw_only=True)
-class Reading:
-    """What was counted up to one moment."""
+class Counters:
+    """Cumulative counters at one time."""
 
     at: float
     processor_s: float
@@ -30,7 +30,7 @@
     writes: int
 
 
-def value_of(box: fleet.Box, name: str) -> float:
+def read_metric(box: fleet.Box, name: str) -> float:
     """Return a metric of a daemon."""
     text = client.fetch(box.address("admin"), "GET", "/metrics").body.decode()
     for line in text.splitlines():
@@ -39,22 +39,22 @@
     return 0.0
 
 
-def read(mesh: fleet.Fleet) -> Reading:
-    """Read the sums over all daemons, and the platform's counts."""
+def read_counters(mesh: fleet.Fleet) -> Counters:
+    """Read the counters of the platform and the totals over all daemons."""
     boxes = list(mesh.boxes.values())
     counts = mesh.platform_counts()
-    return Reading(
+    return Counters(
         at=time.monotonic(),
         processor_s=sum(bench.processor_s(box.daemon) for box in boxes),
-        bytes_in=sum(value_of(box, "ferrydeck_control_bytes_in") for box in boxes),
-        bytes_out=sum(value_of(box, "ferrydeck_control_bytes_out") for box in boxes),
+        bytes_in=sum(read_metric(box, "ferrydeck_control_bytes_in") for box in boxes),
+        bytes_out=sum(read_metric(box, "ferrydeck_control_bytes_out") for box in boxes),
         reads=counts["reads"],
         writes=counts["writes"],
     )
 
 
 def measure(count: int, owners: int) -> None:
-    """Start some daemons, a part of them owners of shards, and print their cost."""
+    """Start daemons, some of which own shards, and print their cost."""
     with (
         tempfile.TemporaryDirectory() as folder,
         fleet.Fleet(pathlib.Path(folder), data_centres=["north", "south"]) as mesh,
@@ -66,34 +66,34 @@
         rolled = mesh.roll(sample.bundle_toml(lease_s=10.0))
         assert rolled.returncode == 0, rolled.stderr
         mesh.wait_ready()
-        pause = threading.Event()
-        pause.wait(SETTLE_S)
-        first = read(mesh)
-        pause.wait(SPAN_S)
-        last = read(mesh)
-        show(mesh, count, owners, first, last)
+        event = threading.Event()
+        event.wait(SETTLE_S)
+        first = read_counters(mesh)
+        event.wait(MEASUREMENT_S)
+        last = read_counters(mesh)
+        print_costs(mesh, count, owners, first, last)
 
 
-def show(
-    mesh: fleet.Fleet, count: int, owners: int, first: Reading, last: Reading
+def print_costs(
+    mesh: fleet.Fleet, count: int, owners: int, first: Counters, last: Counters
 ) -> None:
-    """Print the cost of one daemon a second, and the platform's rates."""
-    span = last.at - first.at
-    core = (last.processor_s - first.processor_s) / span / count
-    bytes_in = (last.bytes_in - first.bytes_in) / span / count
-    bytes_out = (last.bytes_out - first.bytes_out) / span / count
+    """Print the cost per daemon and second, and the platform's request rates."""
+    elapsed_s = last.at - first.at
+    core = (last.processor_s - first.processor_s) / elapsed_s / count
+    bytes_in = (last.bytes_in - first.bytes_in) / elapsed_s / count
+    bytes_out = (last.bytes_out - first.bytes_out) / elapsed_s / count
     memory = [bench.memory_mb(box.daemon) for box in mesh.boxes.values()]
     print(
         f"{count} daemons, {owners} owners: core {core:.4f}, control bytes/s in "
         f"{bytes_in:.0f} out {bytes_out:.0f}, memory {max(memory):.1f} MB, platform "
-        f"reads/s {(last.reads - first.reads) / span:.1f} writes/s "
-        f"{(last.writes - first.writes) / span:.2f}",
+        f"reads/s {(last.reads - first.reads) / elapsed_s:.1f} writes/s "
+        f"{(last.writes - first.writes) / elapsed_s:.2f}",
         flush=True,
     )
 
 
 def main() -> None:
-    """Measure some sizes of the fleet."""
+    """Measure fleets of several sizes."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="4:2,8:4,16:4,16:8,32:8")
     args = parser.parse_args()
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a fleet of two data centres, a first bundle, calls of each class."""
+"""Demo: starts a fleet in two data centres, rolls out a bundle and sends calls."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 from ferrydeck.standins import fleet, sample
 
 DATA_CENTRES = ["kumasi-1", "kumasi-2"]
-CALLS_EACH = 40
+ROUNDS = 40
 CALLERS = 4
-LONGEST_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 AUDIO_BYTES = 1_000_000
 
 
-class Table:
-    """What was answered, by class."""
+class Results:
+    """Outcomes and latencies by request class."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.outcomes: dict[str, collections.Counter[str]] = {}
-        self.micros: dict[str, histogram.HdrHistogram] = {}
+        self.latencies: dict[str, histogram.HdrHistogram] = {}
 
     def add(self, class_name: str, outcome: str, seconds: float) -> None:
-        """Add one answer."""
+        """Record the outcome and latency of a call."""
         with self.lock:
             counter = self.outcomes.setdefault(class_name, collections.Counter())
             counter[outcome] += 1
-            micros = self.micros.setdefault(
-                class_name, histogram.HdrHistogram(1, LONGEST_US, 3)
+            latencies = self.latencies.setdefault(
+                class_name, histogram.HdrHistogram(1, MAX_LATENCY_US, 3)
             )
-            micros.record_value(int(seconds * 1e6))
+            latencies.record_value(int(seconds * 1e6))
 
-    def show(self) -> None:
-        """Print a line for each class."""
-        form = "{:16} {:>5} {:>5} {:>8} {:>8} {:>10} {:>8}"
+    def print_table(self) -> None:
+        """Print the results of each class."""
+        row_format = "{:16} {:>5} {:>5} {:>8} {:>8} {:>10} {:>8}"
         columns = (
             "class",
             "sent",
@@ -52,16 +52,16 @@
             "median ms",
             "99th ms",
         )
-        print(form.format(*columns))
+        print(row_format.format(*columns))
         for name in sample.CLASSES:
-            counter, micros = self.outcomes[name], self.micros[name]
-            told = [counter[one] for one in ("done", "not-run", "unknown")]
-            times = [micros.get_value_at_percentile(one) / 1000 for one in (50, 99)]
+            counter, latencies = self.outcomes[name], self.latencies[name]
+            counts = [counter[one] for one in ("done", "not-run", "unknown")]
+            times = [latencies.get_value_at_percentile(one) / 1000 for one in (50, 99)]
             shown = [f"{one:.1f}" for one in times]
-            print(form.format(name, counter.total(), *told, *shown))
+            print(row_format.format(name, counter.total(), *counts, *shown))
 
 
-def start(mesh: fleet.Fleet) -> list[fleet.Box]:
+def start_boxes(mesh: fleet.Fleet) -> list[fleet.Box]:
     """Start an entry box and a target box of each service in each data centre."""
     entries = []
     for name in DATA_CENTRES:
@@ -71,10 +71,10 @@
     return entries
 
 
-def send(table: Table, entry: fleet.Box, seed: int) -> None:
-    """Send calls of each class in turn, from one caller."""
+def send_calls(results: Results, entry: fleet.Box, seed: int) -> None:
+    """Send calls to all routes in turn, as one caller."""
     rng = random.Random(seed)
-    for number in range(CALLS_EACH):
+    for number in range(ROUNDS):
         for service, method, path, class_name, repeatable, _ in sample.ROUTES:
             size = AUDIO_BYTES if class_name == "audio-download" else 0
             fields = (
@@ -83,7 +83,7 @@
                 else {headers.IDEMPOTENCY_KEY: f"{seed}-{number}-{service}"}
             )
             query = f"?ms={rng.uniform(1, 8):.2f}&size={size}"
-            begun = time.monotonic()
+            started_at = time.monotonic()
             answer = client.fetch(
                 entry.address("entry"),
                 method,
@@ -91,32 +91,32 @@
                 headers=fields,
             )
             outcome = answer.headers[headers.OUTCOME]
-            table.add(class_name, outcome, time.monotonic() - begun)
+            results.add(class_name, outcome, time.monotonic() - started_at)
 
 
 def run(mesh: fleet.Fleet) -> None:
     """Run the demo on a fleet."""
-    entries = start(mesh)
+    entries = start_boxes(mesh)
     rolled = mesh.roll(sample.bundle_toml())
     print(rolled.stdout or rolled.stderr, end="")
     mesh.wait_ready()
     print(f"{len(mesh.boxes)} daemons ready, all shards owned")
-    table = Table()
+    results = Results()
     callers = [
-        threading.Thread(target=send, args=(table, entries[seed % 2], seed))
+        threading.Thread(target=send_calls, args=(results, entries[seed % 2], seed))
         for seed in range(CALLERS)
     ]
     for caller in callers:
         caller.start()
     for caller in callers:
         caller.join()
-    table.show()
+    results.print_table()
     codes = {box.daemon.stop() for box in mesh.boxes.values()}
-    print(f"daemons stopped as planned, exit codes {sorted(codes)}")
+    print(f"daemons stopped gracefully, exit codes {sorted(codes)}")
 
 
 def main() -> None:
-    """Run the demo in a folder that is removed at the end."""
+    """Run the demo in a temporary directory."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder)
         with fleet.Fleet(path, data_centres=DATA_CENTRES) as mesh:
--- a/scripts/make_traces.py
+++ b/scripts/make_traces.py
@@ -1,7 +1,7 @@
-"""Makes the traces and cases below `tests/traces`, from fixed seeds.
+"""Generates the traces and cases in `tests/traces` from fixed seeds.
 
-A trace stands for ten seconds of one deployment's day. Sizes are those of the
-brief with slots divided by twenty, and calls a second with them.
+A trace covers ten seconds of one deployment. Slots and request rates are one
+twentieth of the deployment's.
 """
 
 from __future__ import annotations
@@ -59,17 +59,17 @@
 }  # fmt: skip
 
 
-def lines_of(kinds: list, rng: random.Random) -> list[dict]:
-    """Return the requests of one round, with exponential gaps and times."""
+def trace_lines(kinds: list, rng: random.Random) -> list[dict]:
+    """Return the requests of one repetition, with exponential interarrival times."""
     lines = []
     for class_name, method, path, ms, deadline_ms, rate, nested in kinds:
         at = rng.expovariate(rate)
         while at < LOOP_S:
             calls = [
-                urllib.parse.quote(f"{below}?ms={spread(rng, time)}", safe="")
-                for below, time in nested
+                urllib.parse.quote(f"{nested_path}?ms={vary(rng, time)}", safe="")
+                for nested_path, time in nested
             ]
-            query = f"?ms={spread(rng, ms)}"
+            query = f"?ms={vary(rng, ms)}"
             if calls:
                 query += f"&call={urllib.parse.quote(','.join(calls), safe='')}"
             lines.append(
@@ -87,13 +87,13 @@
     return sorted(lines, key=lambda line: line["t"])
 
 
-def spread(rng: random.Random, ms: float) -> float:
-    """Return a service time about `ms`, never far from it."""
+def vary(rng: random.Random, ms: float) -> float:
+    """Return a service time within 40% of `ms`."""
     return round(ms * rng.uniform(0.6, 1.4), 1)
 
 
-def case_of(name: str, deployment: dict, faults: list[list[str]], resends: int) -> str:
-    """Return a case file."""
+def to_toml(name: str, deployment: dict, faults: list[list[str]], resends: int) -> str:
+    """Return a case in TOML."""
     lines = [f'trace = "{name}.jsonl"', f"seconds = {SECONDS}", f"loop_s = {LOOP_S}"]
     lines += [f"data_centres = {json.dumps(deployment['data_centres'])}"]
     lines += [f"resends = {resends}"]
@@ -106,7 +106,7 @@
 
 
 def cases_of(deployment: dict) -> dict[str, tuple[list[list[str]], int]]:
-    """Return the faults and resends of each case."""
+    """Return the faults and the number of resends of each case."""
     span = ["at = 8.0", "until = 28.0"]
     slow = [
         'kind = "slow"',
@@ -129,12 +129,12 @@
 def main() -> None:
     """Write all traces and cases."""
     for name, deployment in DEPLOYMENTS.items():
-        lines = lines_of(deployment["kinds"], random.Random(name))
+        lines = trace_lines(deployment["kinds"], random.Random(name))
         text = "".join(json.dumps(line) + "\n" for line in lines)
         (FOLDER / f"{name}.jsonl").write_text(text)
         for case, (faults, resends) in cases_of(deployment).items():
             path = FOLDER / f"{name}-{case}.toml"
-            path.write_text(case_of(name, deployment, faults, resends))
+            path.write_text(to_toml(name, deployment, faults, resends))
 
 
 if __name__ == "__main__":
--- a/scripts/mixed_load.py
+++ b/scripts/mixed_load.py
@@ -1,4 +1,4 @@
-"""Load on the boxes of a fleet of processes: requests from several callers at once."""
+"""Generates load from concurrent callers on a fleet of processes."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 from tests.platform import mesh_fleet
 
-WORKERS = 8
-"""Callers at a box at once: more than its target takes, so most requests travel."""
+CONCURRENT_CALLERS = 8
+"""Callers per box: more than its target's slots, so that most requests are forwarded."""
 REQUESTS = 400
-"""Requests through each box."""
+"""Requests per box."""
 
 
 @attrs.define(kw_only=True)
 class Load:
-    """Requests through some boxes, and what came of them."""
+    """Requests through boxes and their outcomes."""
 
     name: str
     outcomes: dict[str, collections.Counter[str]] = attrs.Factory(dict)
-    answered: set[str] = attrs.Factory(set)
+    succeeded: set[str] = attrs.Factory(set)
 
-    def one(self, box: mesh_fleet.MeshBox, number: int) -> None:
-        """Send a request, a posting every other time, and count its outcome."""
+    def send_one(self, box: mesh_fleet.MeshBox, number: int) -> None:
+        """Send a request, alternating POST and GET, and count its outcome."""
         request_id = f"{self.name}-{box.name}-{number}"
         posting = number % 2 == 0
         method, path = ("POST", "/pay/") if posting else ("GET", "/look/")
@@ -39,21 +39,21 @@
         except (OSError, http.client.HTTPException) as exc:
             outcome = f"cut ({type(exc).__name__})"
         if outcome == "200":
-            self.answered.add(request_id)
+            self.succeeded.add(request_id)
         self.outcomes.setdefault(box.name, collections.Counter())[outcome] += 1
 
-    def through(self, box: mesh_fleet.MeshBox, count: int = REQUESTS) -> None:
-        """Send requests through a box from several callers at once."""
-        with concurrent.futures.ThreadPoolExecutor(WORKERS) as pool:
-            list(pool.map(lambda number: self.one(box, number), range(count)))
+    def send_all(self, box: mesh_fleet.MeshBox, count: int = REQUESTS) -> None:
+        """Send requests through a box from concurrent callers."""
+        with concurrent.futures.ThreadPoolExecutor(CONCURRENT_CALLERS) as pool:
+            list(pool.map(lambda number: self.send_one(box, number), range(count)))
 
-    def until(self, box: mesh_fleet.MeshBox, ended: threading.Event) -> None:
-        """Send requests through a box, two at once, until an event is set."""
+    def send_until(self, box: mesh_fleet.MeshBox, ended: threading.Event) -> None:
+        """Send requests through a box from two callers until an event is set."""
 
         def caller(first: int) -> None:
             number = first
             while not ended.is_set():
-                self.one(box, number)
+                self.send_one(box, number)
                 number += 2
 
         with concurrent.futures.ThreadPoolExecutor(2) as pool:
@@ -61,10 +61,10 @@
 
     @property
     def totals(self) -> collections.Counter[str]:
-        """The outcomes at all boxes."""
+        """The outcomes over all boxes."""
         return sum(self.outcomes.values(), collections.Counter())
 
-    def bad(self) -> int:
-        """Count what was cut or answered with an unknown outcome."""
-        fine = {"200", "503", "not taken"}
-        return sum(n for outcome, n in self.totals.items() if outcome not in fine)
+    def failed(self) -> int:
+        """Return the number of requests that were cut off or had other outcomes."""
+        expected = {"200", "503", "not taken"}
+        return sum(n for outcome, n in self.totals.items() if outcome not in expected)
