--- a/scripts/mixed_load.py
+++ b/scripts/mixed_load.py
@@ -12,7 +12,7 @@
 from tests.platform import mesh_fleet
 
 CONCURRENT_CALLERS = 8
-"""Callers per box: more than its target's slots, so that most requests are forwarded."""
+"""Callers per box: more than its target's slots, so most requests are forwarded."""
 REQUESTS = 400
 """Requests per box."""
 
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -13,16 +13,16 @@
 
 @pytest.fixture
 def mesh(make_fleet):
-    made = make_fleet("north")
-    made.add_box("entry", "north", entry=True)
-    made.add_box("ledger", "north", service="payments-ledger")
-    rolled = made.roll(sample.bundle_toml())
+    running_fleet = make_fleet("north")
+    running_fleet.add_box("entry", "north", entry=True)
+    running_fleet.add_box("ledger", "north", service="payments-ledger")
+    rolled = running_fleet.roll(sample.bundle_toml())
     assert rolled.returncode == 0, rolled.stderr
-    made.wait_ready()
-    return made
+    running_fleet.wait_ready()
+    return running_fleet
 
 
-def test_the_commands_of_a_working_day(mesh, tmp_path):
+def test_operator_commands_on_a_running_fleet(mesh, tmp_path):
     entry, ledger = mesh.boxes["entry"], mesh.boxes["ledger"]
     call = mesh.run_tool(
         "call",
@@ -34,9 +34,9 @@
         "k1",
         "--json",
     )
-    told = json.loads(call.stdout)
-    assert (call.returncode, told["data"]["outcome"]) == (0, "done")
-    assert told["data"]["box"] == "ledger"
+    output = json.loads(call.stdout)
+    assert (call.returncode, output["data"]["outcome"]) == (0, "done")
+    assert output["data"]["box"] == "ledger"
     refused = mesh.run_tool("call", entry.address("entry"), "/nothing/here")
     assert (refused.returncode, "not-run" in refused.stderr) == (1, True)
     admins = [box.address("admin") for box in mesh.boxes.values()]
@@ -49,13 +49,13 @@
     review = mesh.run_tool("review", str(bundle), "--settings", str(entry.settings))
     assert '+  "lease_s": 7,' in review.stdout
     drained = mesh.run_tool("drain", ledger.address("admin"), "--wait-s", "0.5")
-    # The last box of a service keeps its shards: there is nobody to hand them to.
+    # The last box of a service keeps its shards, since no other box can own them.
     assert drained.returncode == 1
     mesh.set_faults(down=True)
     rolled = mesh.roll(sample.bundle_toml(2))
     assert rolled.returncode == 3
-    gone = mesh.run_tool("status", f"127.0.0.1:{port_range.free_port()}")
-    assert gone.returncode == 3
+    unreachable = mesh.run_tool("status", f"127.0.0.1:{port_range.free_port()}")
+    assert unreachable.returncode == 3
 
 
 @pytest.mark.parametrize("command", sorted(cli.COMMANDS))
@@ -66,7 +66,7 @@
     assert "example: ferrydeck" in capsys.readouterr().out
 
 
-def test_metrics_health_and_readiness_are_told(mesh):
+def test_metrics_health_and_readiness_endpoints(mesh):
     ledger = mesh.boxes["ledger"].address("admin")
     assert client.fetch(ledger, "GET", "/health").status == 200
     assert client.fetch(ledger, "GET", "/ready").status == 200
@@ -92,16 +92,16 @@
             sent=0.0,
         )
 
-    bad = [b"", b"\x00" * 50, message()[:-3], message("other"), message(receiver=7)]
-    with pynng.Push0(dial=f"tcp://{ledger.address('peer')}") as push:
-        for data in bad * 5:
-            push.send(data)
+    invalid = [b"", b"\x00" * 50, message()[:-3], message("other"), message(receiver=7)]
+    with pynng.Push0(dial=f"tcp://{ledger.address('peer')}") as socket:
+        for message_bytes in invalid * 5:
+            socket.send(message_bytes)
 
     def dropped():
         text = client.fetch(ledger.address("admin"), "GET", "/metrics").body.decode()
         lines = [one for one in text.splitlines() if "peer_messages_dropped" in one]
         counts = [float(one.rsplit(" ", 1)[1]) for one in lines if "_total" in one]
-        return sum(counts) >= len(bad) * 5
+        return sum(counts) >= len(invalid) * 5
 
     fleet.eventually(dropped, "all are counted")
     path = "/payments-ledger/balances"
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -5,8 +5,8 @@
 from ferrydeck import cli
 
 
-def line(time: str, box: str, **more: object) -> str:
-    values = {"time": time, "level": "info", "kind": "request", "box": box} | more
+def line(time: str, box: str, **fields: object) -> str:
+    values = {"time": time, "level": "info", "kind": "request", "box": box} | fields
     return json.dumps(values)
 
 
@@ -14,11 +14,11 @@
     log = tmp_path / "daemons.log"
     log.write_text("\n".join(lines) + "\n")
     code = cli.main(["explain", request_id, str(log)])
-    told = capsys.readouterr()
-    return code, told.out + told.err
+    captured = capsys.readouterr()
+    return code, captured.out + captured.err
 
 
-def test_lines_of_many_boxes_are_put_in_order_and_the_cause_is_named(capsys, tmp_path):
+def test_lines_of_several_boxes_are_sorted_and_the_cause_is_named(capsys, tmp_path):
     lines = [
         line("10:00:02", "box-1", id="a", outcome="refused", reason="overload", ms=62),
         line("10:00:01", "box-2", kind="gate", id="a", outcome="refused"),
@@ -36,7 +36,7 @@
     assert len(rows) == 3
 
 
-def test_calls_made_for_a_request_belong_to_its_story(capsys, tmp_path):
+def test_nested_calls_are_included(capsys, tmp_path):
     lines = [
         line("10:00:01", "box-2", id="a.c", outcome="unknown", reason="timeout"),
         line("10:00:02", "box-1", id="a", outcome="answered", reason="500"),
@@ -48,13 +48,13 @@
     assert "answered by a server with status 500" in text
 
 
-def test_half_a_story_says_what_is_missing(capsys, tmp_path):
+def test_a_missing_final_outcome_is_reported(capsys, tmp_path):
     lines = [line("10:00:01", "box-2", kind="gate", id="a", outcome="broken")]
     _, text = explain(capsys, tmp_path, lines)
     assert "no log line of its final outcome" in text
 
 
-def test_an_id_without_lines_is_bad_input(capsys, tmp_path):
+def test_an_unknown_request_id_is_bad_input(capsys, tmp_path):
     code, text = explain(capsys, tmp_path, [line("10:00:01", "b", id="z")])
     assert code == 2
     assert "no log line about a" in text
--- a/tests/unit/test_summary.py
+++ b/tests/unit/test_summary.py
@@ -28,11 +28,11 @@
     log = tmp_path / "daemons.log"
     log.write_text("\n".join(lines) + "\n")
     code = cli.main(["summary", *more, str(log)])
-    told = capsys.readouterr()
-    return code, told.out + told.err
+    captured = capsys.readouterr()
+    return code, captured.out + captured.err
 
 
-def test_what_failed_is_counted_by_second_and_route(capsys, tmp_path):
+def test_failures_are_counted_by_second_and_route(capsys, tmp_path):
     code, text = summary(capsys, tmp_path, LINES)
     assert code == 0
     rows = [row.split() for row in text.splitlines()]
@@ -44,7 +44,7 @@
     assert text.splitlines()[-1].startswith("8 lines read, 1 unreadable; 7 omitted")
 
 
-def test_counts_are_told_by_box_and_as_json(capsys, tmp_path):
+def test_counts_by_box_in_json(capsys, tmp_path):
     code, text = summary(capsys, tmp_path, LINES, "--by", "box", "--json")
     assert code == 0
     data = json.loads(text)["data"]
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds for the tests, and what must hold in all of them."""
+"""Simulated clusters for the tests, and invariants to check in them."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def ledger_world(seed: int = 1, text: str = LEDGER) -> world.World:
-    """Two data centres, each with an entry box and a ledger box."""
+    """Return a cluster of two data centres, each with an entry and a ledger box."""
     made = world.World(seed=seed)
     made.activate(parse(text))
     for name in ("north", "south"):
@@ -69,33 +69,32 @@
 def sample_world(
     seed: int = 1, policy: policies.Policy | None = None, **changes: object
 ) -> world.World:
-    """Return a world with the sample bundle and no boxes yet."""
+    """Return a cluster with the sample bundle and no boxes."""
     made = world.World(seed=seed, policy=policy)
     made.activate(parse(sample.bundle_toml(**changes)))
     return made
 
 
 def check_at_most_once(made: world.World) -> None:
-    """Check that no key took effect twice, nor after it was told as not run."""
+    """Check that no key was executed twice, or after its call was answered not-run."""
     started = collections.defaultdict(list)
     for effect in made.effects():
         if effect.key:
             started[effect.key].append(effect.at)
     for key, times in started.items():
-        assert len(times) == 1, f"{key} took effect at {times}"
+        assert len(times) == 1, f"{key} was executed at {times}"
         check_not_run(made, key, times[0])
 
 
 def check_not_run(made: world.World, key: str, at: float) -> None:
-    """Check an effect against the sendings that were told as not run.
+    """Check an execution against the calls of its key that were answered not-run.
 
-    The word speaks of that sending and of all that began before it. A caller
-    that sends again without waiting for the answer has a second sending, which
-    may run after the first was refused.
+    Such an answer covers that call and all earlier ones. A client that resends
+    without waiting has a later call, which may run after the first was refused.
     """
-    sendings = [call for call in made.calls if call.key == key]
-    for call in sendings:
+    calls = [call for call in made.calls if call.key == key]
+    for call in calls:
         if call.outcome != "not-run":
             continue
-        later = [one for one in sendings if call.started_at < one.started_at <= at]
-        assert later, f"{key} told as not run at {call.answered_at} took effect at {at}"
+        later = [one for one in calls if call.started_at < one.started_at <= at]
+        assert later, f"{key} answered not-run at {call.answered_at}, executed at {at}"
