--- a/ferrydeck/commands/explain.py
+++ b/ferrydeck/commands/explain.py
@@ -75,9 +75,7 @@
         """Return a sentence that explains the request's outcome."""
         final = self.final
         if final is None:
-            return (
-                "unknown: no log line of its final outcome; is the box's log missing?"
-            )
+            return "unknown: no line of its final outcome; is the box's log missing?"
         key = (final["outcome"], final.get("reason", ""))
         if final["outcome"] == "answered":
             return f"answered by a server with status {final.get('reason')}"
--- a/ferrydeck/replay/ideal.py
+++ b/ferrydeck/replay/ideal.py
@@ -38,15 +38,15 @@
     service, _, rest = path[1:].partition("/")
     query = dict(urllib.parse.parse_qsl(rest.partition("?")[2]))
     own_s = float(query.get("ms", "5")) / 1000 * slowdown(case, service, at)
-    held: dict[str, float] = collections.defaultdict(float)
+    slot_s: dict[str, float] = collections.defaultdict(float)
     for nested in filter(None, query.get("call", "").split(",")):
         nested_seconds = slot_seconds(case, urllib.parse.unquote(nested), at)
         nested_service = urllib.parse.unquote(nested)[1:].partition("/")[0]
         own_s += nested_seconds[nested_service]
         for name, seconds in nested_seconds.items():
-            held[name] += seconds
-    held[service] += own_s
-    return held
+            slot_s[name] += seconds
+    slot_s[service] += own_s
+    return slot_s
 
 
 def goodput(
@@ -77,10 +77,10 @@
     counts: collections.Counter[frozenset[str]] = collections.Counter()
     begins = min((one.at for one in case.faults), default=0.0)
     for request in requests:
-        held = slot_seconds(case, request.line.path, begins)
-        services = frozenset(held)
+        slot_s = slot_seconds(case, request.line.path, begins)
+        services = frozenset(slot_s)
         counts[services] += 1
-        for service, seconds in held.items():
+        for service, seconds in slot_s.items():
             demand[services][service] += seconds
     shares = dict.fromkeys(demand, 0.0)
     unsaturated = set(demand)
--- a/ferrydeck/replay/player.py
+++ b/ferrydeck/replay/player.py
@@ -230,7 +230,7 @@
         return tuple(results)
 
     def _wasted(self, start: float) -> float:
-        worked = sum(
+        busy_s = sum(
             box.target.busy_s for box in self.world.boxes.values() if box.target
         )
         useful = 0.0
@@ -241,7 +241,7 @@
                     seconds * ideal.slowdown(self.case, service, at)
                     for service, seconds in ideal.service_times(request.line.path)
                 )
-        return max(0.0, 1 - useful / worked) if worked else 0.0
+        return max(0.0, 1 - useful / busy_s) if busy_s else 0.0
 
     def _attempts(self) -> float:
         attempts = forwarded = 0
