--- a/ferrydeck/standins/app_server.py
+++ b/ferrydeck/standins/app_server.py
@@ -75,7 +75,7 @@
         self.fault_mode = FaultMode.WELL
         self.leaving = False
         self.sequence = 0
-        self.running = 0
+        self.running_count = 0
         self.executions: list[Execution] = []
         self.disconnected: set[int] = set()
         """Calls whose clients have disconnected."""
@@ -103,17 +103,17 @@
             case "/standin/work":
                 self.work_s = float(req.body)
         ran = [one.request_id for one in self.executions]
-        self.answer(req.call, 200, {"ran": ran, "running": self.running})
+        self.answer(req.call, 200, {"ran": ran, "running": self.running_count})
 
     def _handle_app_request(self, req: loop.Request, fields: dict[str, str]) -> None:
         expected = fields.get("x-expect-instance", self.instance)
         if expected != self.instance:
             self._answer(req, 421, fields, b"", not_run=True)
             return
-        if self.running >= self.slots or self.fault_mode is FaultMode.SHED:
+        if self.running_count >= self.slots or self.fault_mode is FaultMode.SHED:
             self._answer(req, 503, fields, b"", not_run=True)
             return
-        self.running += 1
+        self.running_count += 1
         ran = Execution(
             request_id=fields.get("x-attempt-id", ""),
             caller=fields.get("x-caller-service", ""),
@@ -133,7 +133,7 @@
         print(json.dumps(line), flush=True)
 
     def _finish(self, req: loop.Request, fields: dict[str, str]) -> None:
-        self.running -= 1
+        self.running_count -= 1
         if CRASH_PATH in req.path:
             self._crash(req)
             return
@@ -174,7 +174,7 @@
         fields_sent = {
             "x-attempt-id": fields.get("x-attempt-id", ""),
             "x-instance-id": self.instance,
-            "x-server-load": f"{self.running},0,{self.slots}",
+            "x-server-load": f"{self.running_count},0,{self.slots}",
         }
         if not_run:
             fields_sent["x-not-executed"] = "1"
