--- a/ferrydeck/commands/client.py
+++ b/ferrydeck/commands/client.py
@@ -59,13 +59,13 @@
 
     def send(self, request: platform.Request) -> platform.Result:
         """Send a request without retries."""
-        request_line = platform_client.to_http(request)
+        http_request = platform_client.to_http(request)
         try:
             response = fetch(
                 self.address,
-                request_line.method,
-                request_line.path,
-                body=request_line.body,
+                http_request.method,
+                http_request.path,
+                body=http_request.body,
                 timeout_s=self.timeout_s,
             )
         except (OSError, http.client.HTTPException) as exc:
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -102,7 +102,7 @@
     load.end()
     reader.join()
     assert codes == [0] * len(names)
-    assert into["body"] == target.pattern(AUDIO)
+    assert into["body"] == target.numbered_body(AUDIO)
     return load
 
 
--- a/tests/promises/test_whole_answers.py
+++ b/tests/promises/test_whole_answers.py
@@ -187,7 +187,7 @@
 
 def test_a_long_body_that_breaks_goes_on_elsewhere_or_ends_the_connection(make_fleet):
     mesh, entry = start(make_fleet, audio_delivery=2)
-    whole = target.pattern(AUDIO)
+    whole = target.numbered_body(AUDIO)
     path = f"/audio-delivery/episodes/1?size={AUDIO}"
     for box in mesh.boxes.values():
         if box.service:
@@ -216,4 +216,4 @@
     serving = mesh.boxes[answer.headers[headers.BOX]]
     serving.daemon.kill()
     body += answer.read()
-    assert body == target.pattern(size)
+    assert body == target.numbered_body(size)
