--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""What callers and servers saw, against the promises."""
+"""Checks of the recorded requests and logs against the guarantees."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 from tests.platform import mesh_fleet
 from tests.soak import clients
 
-REFUSALS = frozenset({408, 421, 429, 503})
-DRAIN_S = 2.0
-HELD_SLACK_S = 0.5
-"""How much longer than its deadline a request may be held, seconds."""
-RECOVERED_SHARE = 0.95
-IN_FORCE_S = 2.0
-LETHAL_MOST = 6
-"""Servers that end by a lethal request at most: three for each of two parts of a fleet
-that links held one way or both can make."""
+REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
+MAX_DRAIN_S = 2.0
+DEADLINE_SLACK_S = 0.5
+"""How far an answer may exceed the deadline of its request."""
+MIN_RECOVERED_RATIO = 0.95
+POLICY_TIMEOUT_S = 2.0
+MAX_CRASHES = 6
+"""Most servers that one lethal request may crash: three in each of the two parts
+of a partitioned fleet."""
 
 
 @attrs.define(kw_only=True)
-class Run:
-    """A request that a server ran."""
+class Execution:
+    """One execution of a request by a server."""
 
     request_id: str
     instance: str
@@ -32,37 +32,37 @@
 
 @attrs.define(kw_only=True)
 class History:
-    """Everything that a run of the soak brought."""
-
-    sent: list[clients.Sent]
-    runs: list[Run]
-    acked_leaving: dict[str, float]
-    """When the leaving of a server's lifetime was acknowledged."""
-    calm_from: float
-    """When the last trouble was over, its aftermath included."""
-    troubled: list[tuple[str, float, float]]
-    """Boxes whose daemon was struck, from when until when."""
+    """Everything recorded during one soak run."""
+
+    requests: list[clients.RequestRecord]
+    executions: list[Execution]
+    drained_at: dict[str, float]
+    """When the drain of each server instance was acknowledged."""
+    steady_from: float
+    """When the fleet should have recovered from the last fault."""
+    fault_windows: list[tuple[str, float, float]]
+    """Box, start and end of each daemon fault."""
     logs: dict[str, list[dict[str, object]]]
-    """The lines of each daemon process."""
-    last: set[str]
-    """Those of the daemons that ran until the end."""
-    version: int
-    """The newest policy."""
-    ended_by: list[str]
-    """The path of the request under which each server ended."""
+    """The log lines of each daemon process."""
+    running: set[str]
+    """Log names of the daemons that ran until the end."""
+    newest_version: int
+    """The newest policy version."""
+    crash_paths: list[str]
+    """The path of the request that crashed each server."""
     exit_codes: list[tuple[str, int]]
 
 
-def runs_of(fleet: mesh_fleet.MeshFleet) -> list[Run]:
-    """Return what the servers wrote down."""
+def executions_of(fleet: mesh_fleet.MeshFleet) -> list[Execution]:
+    """Return the executions that the servers logged."""
     found = []
     for process in fleet.processes:
         if not process.name.startswith("server-"):
             continue
-        for line in whole_lines(process.log):
+        for line in complete_json_lines(process.log):
             if "ran" in line:
                 found.append(
-                    Run(
+                    Execution(
                         request_id=line["ran"],
                         instance=line["instance"],
                         at=line["at"],
@@ -71,77 +71,77 @@
     return found
 
 
-def ended_by(fleet: mesh_fleet.MeshFleet) -> list[str]:
-    """Return the paths under which servers ended."""
+def crash_paths(fleet: mesh_fleet.MeshFleet) -> list[str]:
+    """Return the paths of the requests that crashed servers."""
     servers = [one for one in fleet.processes if one.name.startswith("server-")]
-    lines = [line for one in servers for line in whole_lines(one.log)]
+    lines = [line for one in servers for line in complete_json_lines(one.log)]
     return [line["ended"] for line in lines if "ended" in line]
 
 
-def whole_lines(path) -> list[dict[str, object]]:
-    """Return the JSON lines of a log; what was cut off by a kill is left out."""
+def complete_json_lines(path) -> list[dict[str, object]]:
+    """Return the JSON lines of a log without those truncated by a kill."""
     text = path.read_text(errors="replace")
     lines = [line for line in text.splitlines(keepends=True) if line.startswith("{")]
     return [json.loads(line) for line in lines if line.endswith("}\n")]
 
 
-def broken(history: History) -> list[str]:
-    """Return all promises that were broken, with the request or box."""
-    ran = collections.Counter(one.request_id for one in history.runs)
+def find_violations(history: History) -> list[str]:
+    """Return all violated guarantees, each with its request or box."""
+    run_counts = collections.Counter(one.request_id for one in history.executions)
     found = []
-    for one in history.sent:
-        found += _of_request(one, ran[one.request_id])
-    found += _held(history)
-    found += _after_leaving(history)
-    found += _versions(history)
-    found += _newest(history)
-    found += _lethal(history)
-    found += _recovery(history)
+    for one in history.requests:
+        found += _check_request(one, run_counts[one.request_id])
+    found += _check_latency(history)
+    found += _check_drain(history)
+    found += _check_policy_order(history)
+    found += _check_final_policy(history)
+    found += _check_lethal(history)
+    found += _check_recovery(history)
     found += [f"EXIT {name}: {code}" for name, code in history.exit_codes if code]
     return found
 
 
-def _of_request(one: clients.Sent, times: int) -> list[str]:
+def _check_request(one: clients.RequestRecord, executions: int) -> list[str]:
     found = []
-    if one.once and times > 1:
-        found.append(f"TWICE {one.request_id}: {times}")
-    if one.once and one.status in REFUSALS and times:
+    if one.at_most_once and executions > 1:
+        found.append(f"TWICE {one.request_id}: {executions}")
+    if one.at_most_once and one.status in REFUSAL_STATUSES and executions:
         found.append(f"REFUSED {one.request_id}: {one.status} but ran")
     if one.status == 200:
-        whole = one.body == one.expected and one.echoed == one.request_id
-        if not whole or not times:
-            found.append(f"MIXED {one.request_id}: {one.body!r} for {one.echoed}")
+        whole = one.body == one.expected_body and one.echoed_id == one.request_id
+        if not whole or not executions:
+            found.append(f"MIXED {one.request_id}: {one.body!r} for {one.echoed_id}")
     if one.status in (400, 404, 413, 431):
         found.append(f"DENIED {one.request_id}: {one.status}")
     return found
 
 
-def _held(history: History) -> list[str]:
-    """Return requests without an answer in time, at boxes that were not struck."""
+def _check_latency(history: History) -> list[str]:
+    """Return requests without a timely answer at boxes without a daemon fault."""
     found = []
-    for one in history.sent:
-        late = one.ended - one.at > clients.DEADLINE_S + HELD_SLACK_S
-        if not late and one.status not in (clients.CUT, clients.NO_ANSWER):
+    for one in history.requests:
+        late = one.ended_at - one.started_at > clients.DEADLINE_S + DEADLINE_SLACK_S
+        if not late and one.status not in (clients.CONNECTION_LOST, clients.TIMED_OUT):
             continue
-        struck = any(
-            one.box == box and one.at < until and one.ended > since
-            for box, since, until in history.troubled
+        faulted = any(
+            one.box == box and one.started_at < end and one.ended_at > start
+            for box, start, end in history.fault_windows
         )
-        if not struck:
-            word = "HELD" if late else "CUT"
-            found.append(f"{word} {one.request_id} at {one.box}: {one.status}")
+        if not faulted:
+            label = "HELD" if late else "CUT"
+            found.append(f"{label} {one.request_id} at {one.box}: {one.status}")
     return found
 
 
-def _after_leaving(history: History) -> list[str]:
+def _check_drain(history: History) -> list[str]:
     return [
         f"DRAIN {one.request_id} runs at {one.instance}"
-        for one in history.runs
-        if one.at > history.acked_leaving.get(one.instance, float("inf")) + DRAIN_S
+        for one in history.executions
+        if one.at > history.drained_at.get(one.instance, float("inf")) + MAX_DRAIN_S
     ]
 
 
-def _versions(history: History) -> list[str]:
+def _check_policy_order(history: History) -> list[str]:
     found = []
     for name, lines in history.logs.items():
         seen = [line["version"] for line in lines if line["kind"] == "policy-in-force"]
@@ -150,30 +150,30 @@
     return found
 
 
-def _newest(history: History) -> list[str]:
-    """Return the daemons of the end that do not have the newest policy in force."""
+def _check_final_policy(history: History) -> list[str]:
+    """Return the running daemons that do not apply the newest policy."""
     found = []
     for name, lines in history.logs.items():
-        if any(line["kind"] == "stop" for line in lines) or name not in history.last:
+        if any(line["kind"] == "stop" for line in lines) or name not in history.running:
             continue
         seen = [line["version"] for line in lines if line["kind"] == "policy-in-force"]
-        if seen[-1:] != [history.version]:
+        if seen[-1:] != [history.newest_version]:
             found.append(
-                f"CONFIG {name}: {seen[-1:]} at the end, not {history.version}"
+                f"CONFIG {name}: {seen[-1:]} at the end, not {history.newest_version}"
             )
     return found
 
 
-def _lethal(history: History) -> list[str]:
-    """Return requests under which more servers ended than parts of the fleet allow."""
-    ended = collections.Counter(history.ended_by)
-    return [f"LETHAL {path}: {n}" for path, n in ended.items() if n > LETHAL_MOST]
+def _check_lethal(history: History) -> list[str]:
+    """Return the lethal requests that crashed too many servers."""
+    count = collections.Counter(history.crash_paths)
+    return [f"LETHAL {path}: {n}" for path, n in count.items() if n > MAX_CRASHES]
 
 
-def _recovery(history: History) -> list[str]:
-    last = [one for one in history.sent if one.at > history.calm_from]
-    served = sum(one.status == 200 for one in last)
-    if not last or served < RECOVERED_SHARE * len(last):
-        told = collections.Counter(one.status for one in last)
-        return [f"RECOVER {served} of {len(last)}: {dict(told)}"]
+def _check_recovery(history: History) -> list[str]:
+    steady = [one for one in history.requests if one.started_at > history.steady_from]
+    served = sum(one.status == 200 for one in steady)
+    if not steady or served < MIN_RECOVERED_RATIO * len(steady):
+        statuses = collections.Counter(one.status for one in steady)
+        return [f"RECOVER {served} of {len(steady)}: {dict(statuses)}"]
     return []
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections until the daemon behind is gone."""
+"""HTTP clients that reuse one connection until the daemon closes it."""
 
 from __future__ import annotations
 
@@ -10,59 +10,59 @@
 
 HOST = "calls.example"
 DEADLINE_S = 1.5
-PATIENCE_S = 4.0
-"""How long a caller waits for an answer at all, seconds."""
-PAUSE_S = 0.02
-REDIAL_S = 0.1
-CUT = 0
-"""The status of a request whose connection ended without an answer."""
-NO_ANSWER = -1
-"""The status of a request that got no answer within the caller's patience."""
+ANSWER_TIMEOUT_S = 4.0
+"""Time after which a client gives up on a request."""
+REQUEST_INTERVAL_S = 0.02
+RECONNECT_INTERVAL_S = 0.1
+CONNECTION_LOST = 0
+"""Status of a request whose connection closed before the answer."""
+TIMED_OUT = -1
+"""Status of a request that got no answer within `ANSWER_TIMEOUT_S`."""
 
 
 @attrs.define(kw_only=True)
-class Sent:
-    """A request and what became of it."""
+class RequestRecord:
+    """A request and its answer."""
 
     request_id: str
     box: str
-    once: bool
+    at_most_once: bool
     path: str
-    at: float
-    status: int = NO_ANSWER
-    ended: float = 0.0
-    echoed: str = ""
+    started_at: float
+    status: int = TIMED_OUT
+    ended_at: float = 0.0
+    echoed_id: str = ""
     body: bytes = b""
 
     @property
-    def expected(self) -> bytes:
-        """The body that the server gives to this request."""
-        if self.once:
+    def expected_body(self) -> bytes:
+        """The body with which the server answers this request."""
+        if self.at_most_once:
             return f"desk POST {self.path} 12.50".encode()
         return f"desk GET {self.path} ".encode()
 
 
 @attrs.define(kw_only=True)
 class Caller:
-    """Sends one request after the other on one connection."""
+    """Sends requests one after another on one connection."""
 
     name: str
     box: str
     address: tuple[str, int]
-    sent: list[Sent] = attrs.Factory(list)
+    requests: list[RequestRecord] = attrs.Factory(list)
     stopping: bool = False
     _reader: asyncio.StreamReader | None = None
     _writer: asyncio.StreamWriter | None = None
 
     async def run(self) -> None:
-        """Send requests until told to stop."""
+        """Send requests until `stopping` is set."""
         while not self.stopping:
             if self._writer is None and not await self._connect():
-                await asyncio.sleep(REDIAL_S)
+                await asyncio.sleep(RECONNECT_INTERVAL_S)
                 continue
-            await self._request()
-            await asyncio.sleep(PAUSE_S)
-        self._drop()
+            await self._send_request()
+            await asyncio.sleep(REQUEST_INTERVAL_S)
+        self._disconnect()
 
     async def _connect(self) -> bool:
         try:
@@ -71,51 +71,51 @@
             return False
         return True
 
-    async def _request(self) -> None:
-        number = len(self.sent)
-        once = number % 3 == 0
-        path = f"/{'pay' if once else 'look'}/{number}"
+    async def _send_request(self) -> None:
+        number = len(self.requests)
+        at_most_once = number % 3 == 0
+        path = f"/{'pay' if at_most_once else 'look'}/{number}"
         request_id = f"{self.name}-{number}"
-        one = Sent(
+        request = RequestRecord(
             request_id=request_id,
             box=self.box,
-            once=once,
+            at_most_once=at_most_once,
             path=path,
-            at=clock.now(),
+            started_at=clock.now(),
         )
-        self.sent.append(one)
+        self.requests.append(request)
         try:
-            self._writer.write(self._bytes(one))
-            await asyncio.wait_for(self._answer(one), PATIENCE_S)
+            self._writer.write(self._encode(request))
+            await asyncio.wait_for(self._read_answer(request), ANSWER_TIMEOUT_S)
         except TimeoutError:
-            self._drop()
+            self._disconnect()
         except (OSError, asyncio.IncompleteReadError):
-            one.status = CUT
-            self._drop()
-        one.ended = clock.now()
+            request.status = CONNECTION_LOST
+            self._disconnect()
+        request.ended_at = clock.now()
 
-    def _bytes(self, one: Sent) -> bytes:
-        method, body = ("POST", b"12.50") if one.once else ("GET", b"")
+    def _encode(self, request: RequestRecord) -> bytes:
+        method, body = ("POST", b"12.50") if request.at_most_once else ("GET", b"")
         lines = [
-            f"{method} {one.path} HTTP/1.1",
+            f"{method} {request.path} HTTP/1.1",
             f"Host: {HOST}",
-            f"X-Attempt-Id: {one.request_id}",
+            f"X-Attempt-Id: {request.request_id}",
             f"X-Deadline-Ms: {int(1000 * DEADLINE_S)}",
         ]
         if body:
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join([*lines, "", ""]).encode() + body
 
-    async def _answer(self, one: Sent) -> None:
+    async def _read_answer(self, request: RequestRecord) -> None:
         head = (await self._reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         fields = dict(line.lower().split(": ", 1) for line in head[1:] if line)
-        one.body = await self._reader.readexactly(int(fields["content-length"]))
-        one.echoed = fields.get("x-attempt-id", "")
-        one.status = int(head[0].split()[1])
+        request.body = await self._reader.readexactly(int(fields["content-length"]))
+        request.echoed_id = fields.get("x-attempt-id", "")
+        request.status = int(head[0].split()[1])
         if fields.get("connection") == "close":
-            self._drop()
+            self._disconnect()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._writer is not None:
             self._writer.close()
         self._reader = self._writer = None
--- a/tests/soak/schedule.py
+++ b/tests/soak/schedule.py
@@ -1,4 +1,4 @@
-"""A random schedule of faults against real processes, from a seed."""
+"""Seeded random fault injection into real processes."""
 
 from __future__ import annotations
 
@@ -17,251 +17,251 @@
 from tests.platform import mesh_fleet
 from tests.soak import proxy
 
-AFTERMATH_S = 2.5
-"""How long after a fault its box may still show it, seconds: the wait for readiness
-and for links that were given up."""
-STOP_S = 6.0
-"""The grace of a planned stop, seconds."""
-FAULTS = ("busy", "silent", "lost")
+FAULT_RECOVERY_S = 2.5
+"""How long requests at a box may fail after a fault: the readiness check and
+reconnection of links take this long."""
+STOP_TIMEOUT_S = 6.0
+"""Time within which a daemon exits after SIGTERM."""
+STORE_FAULTS = ("busy", "silent", "lost")
 LETHAL_PATHS = tuple(f"/look{app_server.CRASH_PATH}/{name}" for name in "abc")
-COPIES_MOST = 4
-REVIVE_EVERY_S = 0.05
-MOODS = ("shed", "fail", "cut", "unsealed")
+MAX_LETHAL_COPIES = 4
+RESTART_POLL_INTERVAL_S = 0.05
+SERVER_MODES = ("shed", "fail", "cut", "unsealed")
 
 
 @attrs.define(kw_only=True, eq=False)
-class Place:
-    """A box with the proxies in front of its links and of its way to the store."""
+class Node:
+    """A box whose links and store connections go through proxies."""
 
     box: mesh_fleet.MeshBox
     links: proxy.Proxy
     store: proxy.Proxy
-    busy: bool = False
-    """Whether its daemon is being struck."""
+    daemon_busy: bool = False
+    """Whether a fault of the daemon is in progress."""
     server_busy: bool = False
 
 
 @attrs.define(kw_only=True)
 class Schedule:
-    """Strikes at random, several things at once."""
+    """Injects random faults, several at a time."""
 
     rng: random.Random
     fleet: mesh_fleet.MeshFleet
-    places: list[Place]
-    troubled: list[tuple[str, float, float]] = attrs.Factory(list)
-    acked_leaving: dict[str, float] = attrs.Factory(dict)
+    nodes: list[Node]
+    fault_windows: list[tuple[str, float, float]] = attrs.Factory(list)
+    drained_at: dict[str, float] = attrs.Factory(dict)
     exit_codes: list[tuple[str, int]] = attrs.Factory(list)
-    told: list[str] = attrs.Factory(list)
+    fault_log: list[str] = attrs.Factory(list)
     version: int = 4
     lethal: bool = False
-    """Whether requests come that end the servers that run them."""
+    """Whether to send requests that crash the servers that run them."""
     restores: bool = False
-    """Whether the store comes back from older copies of itself."""
-    _copies: int = 0
+    """Whether to restore the store from older snapshots."""
+    _lethal_sent: int = 0
     _tasks: set[asyncio.Task] = attrs.Factory(set)
 
-    async def play(self, seconds: float) -> None:
-        """Strike for some time, then wait until all is over."""
-        reviver = asyncio.ensure_future(self._revive()) if self.lethal else None
-        ends = clock.now() + seconds
-        while clock.now() < ends:
+    async def run(self, seconds: float) -> None:
+        """Inject faults for some time, then wait until all of them have ended."""
+        task = asyncio.ensure_future(self._restart_crashed()) if self.lethal else None
+        ends_at = clock.now() + seconds
+        while clock.now() < ends_at:
             await asyncio.sleep(self.rng.uniform(0.1, 1.0))
-            self._strike()
+            self._inject_fault()
         await asyncio.gather(*self._tasks)
-        if reviver is not None:
-            reviver.cancel()
-
-    def _strike(self) -> None:
-        place = self.rng.choice(self.places)
-        more = [self._send_lethal] * 4 if self.lethal else []
-        more += [self._restore] * 3 if self.restores else []
-        kind = self.rng.choice(
+        if task is not None:
+            task.cancel()
+
+    def _inject_fault(self) -> None:
+        node = self.rng.choice(self.nodes)
+        extra = [self._send_lethal] * 4 if self.lethal else []
+        extra += [self._restore_store] * 3 if self.restores else []
+        fault = self.rng.choice(
             [
-                *more,
-                self._kill,
-                self._stop,
-                self._freeze,
-                self._reload,
-                self._hold_links,
+                *extra,
+                self._kill_daemon,
+                self._stop_daemon,
+                self._freeze_daemon,
+                self._reload_daemon,
+                self._block_links,
                 self._delay_links,
                 self._reset_links,
-                self._hold_store,
+                self._block_store,
                 self._store_fault,
-                self._forget,
-                self._policy,
+                self._forget_history,
+                self._publish_policy,
                 self._kill_server,
-                self._drain,
-                self._mood,
+                self._drain_server,
+                self._set_server_mode,
             ]
         )
-        task = asyncio.get_running_loop().create_task(kind(place))
-        self.told.append(f"{clock.now():.2f} {kind.__name__} {place.box.name}")
+        task = asyncio.get_running_loop().create_task(fault(node))
+        self.fault_log.append(f"{clock.now():.2f} {fault.__name__} {node.box.name}")
         self._tasks.add(task)
 
     @contextlib.asynccontextmanager
-    async def _struck(self, place: Place):
-        """Note that a daemon is struck; nothing else strikes it meanwhile."""
-        since = clock.now()
-        place.busy = True
+    async def _daemon_fault(self, node: Node):
+        """Record a fault of a daemon and keep other faults off it meanwhile."""
+        started_at = clock.now()
+        node.daemon_busy = True
         try:
             yield
         finally:
-            place.busy = False
-            until = clock.now() + AFTERMATH_S
-            self.troubled.append((place.box.name, since, until))
+            node.daemon_busy = False
+            ended_at = clock.now() + FAULT_RECOVERY_S
+            self.fault_windows.append((node.box.name, started_at, ended_at))
 
-    async def _kill(self, place: Place) -> None:
-        if place.busy:
+    async def _kill_daemon(self, node: Node) -> None:
+        if node.daemon_busy:
             return
-        async with self._struck(place):
-            place.box.daemon.signal(signal.SIGKILL)
-            await self._start_again(place)
+        async with self._daemon_fault(node):
+            node.box.daemon.signal(signal.SIGKILL)
+            await self._restart_daemon(node)
 
-    async def _stop(self, place: Place) -> None:
-        if place.busy:
+    async def _stop_daemon(self, node: Node) -> None:
+        if node.daemon_busy:
             return
-        async with self._struck(place):
-            place.box.daemon.signal(signal.SIGTERM)
-            code = await self._ended(place, STOP_S)
-            self.exit_codes.append((place.box.name, code))
-            await self._start_again(place)
-
-    async def _freeze(self, place: Place) -> None:
-        if place.busy:
+        async with self._daemon_fault(node):
+            node.box.daemon.signal(signal.SIGTERM)
+            code = await self._wait_stopped(node, STOP_TIMEOUT_S)
+            self.exit_codes.append((node.box.name, code))
+            await self._restart_daemon(node)
+
+    async def _freeze_daemon(self, node: Node) -> None:
+        if node.daemon_busy:
             return
-        async with self._struck(place):
-            place.box.daemon.freeze()
+        async with self._daemon_fault(node):
+            node.box.daemon.freeze()
             await asyncio.sleep(self.rng.uniform(0.1, 3.0))
-            place.box.daemon.thaw()
+            node.box.daemon.thaw()
 
-    async def _reload(self, place: Place) -> None:
-        place.box.daemon.signal(signal.SIGHUP)
+    async def _reload_daemon(self, node: Node) -> None:
+        node.box.daemon.signal(signal.SIGHUP)
 
-    async def _hold_links(self, place: Place) -> None:
-        ways = self.rng.choice([list(proxy.Way), [proxy.Way.IN], [proxy.Way.OUT]])
-        place.links.hold(*ways)
+    async def _block_links(self, node: Node) -> None:
+        flows = self.rng.choice([list(proxy.Flow), [proxy.Flow.IN], [proxy.Flow.OUT]])
+        node.links.block(*flows)
         await asyncio.sleep(self.rng.uniform(0.2, 4.0))
-        place.links.heal()
+        node.links.heal()
 
-    async def _delay_links(self, place: Place) -> None:
-        place.links.delay_s = self.rng.uniform(0.01, 0.2)
+    async def _delay_links(self, node: Node) -> None:
+        node.links.delay_s = self.rng.uniform(0.01, 0.2)
         await asyncio.sleep(self.rng.uniform(0.5, 3.0))
-        place.links.heal()
+        node.links.heal()
 
-    async def _reset_links(self, place: Place) -> None:
-        place.links.reset()
+    async def _reset_links(self, node: Node) -> None:
+        node.links.reset()
 
-    async def _hold_store(self, place: Place) -> None:
-        place.store.hold(*self.rng.choice([list(proxy.Way), [proxy.Way.OUT]]))
+    async def _block_store(self, node: Node) -> None:
+        node.store.block(*self.rng.choice([list(proxy.Flow), [proxy.Flow.OUT]]))
         await asyncio.sleep(self.rng.uniform(0.2, 4.0))
-        place.store.heal()
+        node.store.heal()
 
-    async def _store_fault(self, place: Place) -> None:
-        await self._control("fault", self.rng.choice(FAULTS).encode())
+    async def _store_fault(self, node: Node) -> None:
+        await self._control_store("fault", self.rng.choice(STORE_FAULTS).encode())
         await asyncio.sleep(self.rng.uniform(0.2, 4.0))
-        await self._control("fault", b"none")
+        await self._control_store("fault", b"none")
 
-    async def _forget(self, place: Place) -> None:
-        await self._control("forget", b"")
+    async def _forget_history(self, node: Node) -> None:
+        await self._control_store("forget", b"")
 
-    async def _restore(self, place: Place) -> None:
-        """Have the store come back from a copy, and others write to it."""
-        await self._control("copy", b"")
+    async def _restore_store(self, node: Node) -> None:
+        """Restore the store from a snapshot, then write unrelated keys to it."""
+        await self._control_store("copy", b"")
         await asyncio.sleep(self.rng.uniform(0.2, 3.0))
-        await self._control("restore", b"")
+        await self._control_store("restore", b"")
         for number in range(self.rng.randint(0, 20)):
-            await self._control("write", f"other/{number}".encode())
+            await self._control_store("write", f"other/{number}".encode())
 
-    async def _policy(self, place: Place) -> None:
+    async def _publish_policy(self, node: Node) -> None:
         self.version += self.rng.randint(1, 3)
-        table = mesh_fleet.manifest(self.version)
-        await self._control("policy", json.dumps(table).encode())
+        manifest = mesh_fleet.manifest(self.version)
+        await self._control_store("policy", json.dumps(manifest).encode())
 
-    async def _kill_server(self, place: Place) -> None:
-        if place.server_busy:
+    async def _kill_server(self, node: Node) -> None:
+        if node.server_busy:
             return
-        place.server_busy = True
-        place.box.server.signal(signal.SIGKILL)
+        node.server_busy = True
+        node.box.server.signal(signal.SIGKILL)
         await asyncio.sleep(self.rng.uniform(0.1, 2.0))
-        self._start_server(place)
-        place.server_busy = False
+        self._start_server(node)
+        node.server_busy = False
 
-    async def _drain(self, place: Place) -> None:
-        """Have a server leave, end, and a new lifetime take its place."""
-        if place.server_busy:
+    async def _drain_server(self, node: Node) -> None:
+        """Drain a server, kill it and start a new instance."""
+        if node.server_busy:
             return
-        place.server_busy = True
-        # A request may have ended the server just now.
+        node.server_busy = True
+        # A lethal request may have crashed the server.
         with contextlib.suppress(OSError, http.client.HTTPException):
-            instance = await asyncio.to_thread(self._instance, place)
-            told = await asyncio.to_thread(place.box.control, "drain")
-            if told["acked"]:
-                self.acked_leaving[instance] = clock.now()
+            instance = await asyncio.to_thread(self._instance_of, node)
+            answer = await asyncio.to_thread(node.box.control, "drain")
+            if answer["acked"]:
+                self.drained_at[instance] = clock.now()
         await asyncio.sleep(self.rng.uniform(2.0, 4.0))
-        place.box.server.signal(signal.SIGKILL)
-        self._start_server(place)
-        place.server_busy = False
+        node.box.server.signal(signal.SIGKILL)
+        self._start_server(node)
+        node.server_busy = False
 
-    async def _mood(self, place: Place) -> None:
-        if place.server_busy:
+    async def _set_server_mode(self, node: Node) -> None:
+        if node.server_busy:
             return
-        place.server_busy = True
+        node.server_busy = True
         with contextlib.suppress(OSError, http.client.HTTPException):
-            mood = self.rng.choice(MOODS).encode()
-            await asyncio.to_thread(place.box.control, "mood", mood)
+            mode = self.rng.choice(SERVER_MODES).encode()
+            await asyncio.to_thread(node.box.control, "mood", mode)
             await asyncio.sleep(self.rng.uniform(0.3, 2.0))
-            await asyncio.to_thread(place.box.control, "mood", b"well")
-        place.server_busy = False
+            await asyncio.to_thread(node.box.control, "mood", b"well")
+        node.server_busy = False
 
-    async def _send_lethal(self, place: Place) -> None:
-        """Have copies of a lethal request come at some boxes, one of them again."""
+    async def _send_lethal(self, node: Node) -> None:
+        """Send copies of a lethal request to some boxes, then one more to `node`."""
         path = self.rng.choice(LETHAL_PATHS)
-        boxes = self.rng.choices(self.places, k=self.rng.randint(1, COPIES_MOST))
-        await asyncio.gather(*(self._send_copy(one, path) for one in boxes))
-        await self._send_copy(place, path)
+        boxes = self.rng.choices(self.nodes, k=self.rng.randint(1, MAX_LETHAL_COPIES))
+        await asyncio.gather(*(self._send_lethal_copy(one, path) for one in boxes))
+        await self._send_lethal_copy(node, path)
 
-    async def _send_copy(self, place: Place, path: str) -> None:
-        self._copies += 1
-        request_id = f"copy-{self._copies}"
+    async def _send_lethal_copy(self, node: Node, path: str) -> None:
+        self._lethal_sent += 1
+        request_id = f"copy-{self._lethal_sent}"
         with contextlib.suppress(OSError, http.client.HTTPException):
-            await asyncio.to_thread(place.box.call, path, request_id)
+            await asyncio.to_thread(node.box.call, path, request_id)
 
-    async def _revive(self) -> None:
-        """Start servers again that have ended, some under the id that they had."""
+    async def _restart_crashed(self) -> None:
+        """Restart crashed servers, some with their previous instance id."""
         while True:
-            await asyncio.sleep(REVIVE_EVERY_S)
-            for place in self.places:
-                ended = place.box.server.popen.poll() == app_server.CRASH_EXIT_CODE
-                if ended and not place.server_busy:
-                    place.server_busy = True
-                    self._tasks.add(asyncio.ensure_future(self._start_ended(place)))
-
-    async def _start_ended(self, place: Place) -> None:
-        lines = place.box.server.log.read_text().splitlines()
+            await asyncio.sleep(RESTART_POLL_INTERVAL_S)
+            for node in self.nodes:
+                crashed = node.box.server.popen.poll() == app_server.CRASH_EXIT_CODE
+                if crashed and not node.server_busy:
+                    node.server_busy = True
+                    self._tasks.add(asyncio.ensure_future(self._restart_server(node)))
+
+    async def _restart_server(self, node: Node) -> None:
+        lines = node.box.server.log.read_text().splitlines()
         last = json.loads(lines[-1])["instance"]
         await asyncio.sleep(self.rng.uniform(0.1, 1.0))
         keeps_id = self.rng.random() < 0.5
-        place.box.server = self.fleet.start_server(place.box, last * keeps_id)
-        place.server_busy = False
+        node.box.server = self.fleet.start_server(node.box, last * keeps_id)
+        node.server_busy = False
 
-    async def _control(self, what: str, body: bytes) -> None:
-        await asyncio.to_thread(self.fleet.control, what, body)
+    async def _control_store(self, command: str, body: bytes) -> None:
+        await asyncio.to_thread(self.fleet.control, command, body)
 
-    def _instance(self, place: Place) -> str:
-        answer = mesh_fleet.fetch(place.box.address("target"), "GET", "/healthz")
+    def _instance_of(self, node: Node) -> str:
+        answer = mesh_fleet.fetch(node.box.address("target"), "GET", "/healthz")
         return answer.fields["x-instance-id"]
 
-    async def _ended(self, place: Place, within_s: float) -> int:
-        """Wait for the end of a daemon; kill it when its grace is over."""
-        popen = place.box.daemon.popen
+    async def _wait_stopped(self, node: Node, timeout_s: float) -> int:
+        """Wait until a daemon exits; kill it after the timeout."""
+        popen = node.box.daemon.popen
         try:
-            return await asyncio.to_thread(popen.wait, within_s)
+            return await asyncio.to_thread(popen.wait, timeout_s)
         except processes.subprocess.TimeoutExpired:
             popen.kill()
             return await asyncio.to_thread(popen.wait)
 
-    async def _start_again(self, place: Place) -> None:
-        box = place.box
+    async def _restart_daemon(self, node: Node) -> None:
+        box = node.box
         await asyncio.to_thread(box.daemon.popen.wait)
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         while True:
@@ -274,11 +274,11 @@
             )
             if popen.poll() is None:
                 return
-            # A signal to reload ends an interpreter that has not begun to run yet;
-            # the platform would start it again.
+            # SIGHUP kills an interpreter that has not installed its handler yet;
+            # the platform restarts such a process.
             if popen.poll() != -signal.SIGHUP:
                 self.exit_codes.append((box.name, popen.poll()))
 
-    def _start_server(self, place: Place) -> None:
-        place.box.server.popen.wait()
-        place.box.server = self.fleet.start_server(place.box)
+    def _start_server(self, node: Node) -> None:
+        node.box.server.popen.wait()
+        node.box.server = self.fleet.start_server(node.box)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""Real daemons under random faults: `python -m tests.soak.soak --seeds 1-50`."""
+"""Fault injection into real daemons: `python -m tests.soak.soak --seeds 1-50`."""
 
 from __future__ import annotations
 
@@ -17,45 +17,45 @@
 from tests.platform import mesh_fleet
 from tests.soak import checks, clients, proxy, schedule
 
-CALM_S = 4.0
-"""From the last fault until all must be well again, seconds."""
-LAST_S = 2.0
-"""How long it must be well, seconds."""
-CALLERS = 3
+SETTLE_S = 4.0
+"""Time for the fleet to recover after the last fault."""
+STEADY_STATE_S = 2.0
+"""How long the recovered fleet is observed."""
+CALLERS_PER_BOX = 3
 
 
 @attrs.define(kw_only=True)
-class Played:
-    """What one seed brought."""
+class SoakResult:
+    """The outcome of one seed."""
 
     seed: int
-    broken: list[str]
+    violations: list[str]
     sent: int
     served: int
-    ended: dict[str, int]
-    """Servers that ended by a request, by its path."""
-    schedule: list[str]
+    crashes: dict[str, int]
+    """Number of servers crashed by a request, by its path."""
+    fault_log: list[str]
 
 
-async def prepare(fleet: mesh_fleet.MeshFleet, boxes: int) -> list[schedule.Place]:
-    """Start boxes behind proxies and wait until they serve."""
+async def start_nodes(fleet: mesh_fleet.MeshFleet, boxes: int) -> list[schedule.Node]:
+    """Start boxes behind proxies and wait until they serve requests."""
     fleet.use(mesh_fleet.manifest(4))
-    places = []
+    nodes = []
     for number in range(1, boxes + 1):
         ip = f"127.0.0.{number}"
-        links = proxy.Proxy(target=(ip, fleet.shared["link"]))
-        await links.start(ip, port_range.free_port())
-        to_store = proxy.Proxy(target=(port_range.IP, fleet.store_port))
-        await to_store.start(ip, port_range.free_port())
+        link_proxy = proxy.Proxy(target=(ip, fleet.shared["link"]))
+        await link_proxy.start(ip, port_range.free_port())
+        store_proxy = proxy.Proxy(target=(port_range.IP, fleet.store_port))
+        await store_proxy.start(ip, port_range.free_port())
         box = fleet.add_box(
-            work_ms=20, store=to_store.address, link_advertised=links.address
+            work_ms=20, store=store_proxy.address, link_advertised=link_proxy.address
         )
-        places.append(schedule.Place(box=box, links=links, store=to_store))
+        nodes.append(schedule.Node(box=box, links=link_proxy, store=store_proxy))
     await asyncio.to_thread(fleet.wait_linked)
-    return places
+    return nodes
 
 
-async def play_in(
+async def run_async(
     folder: pathlib.Path,
     seed: int,
     boxes: int,
@@ -63,73 +63,73 @@
     *,
     lethal: bool,
     restores: bool,
-) -> Played:
-    """Play one seed with its files in a folder."""
+) -> SoakResult:
+    """Run one seed with its files in a folder."""
     fleet = mesh_fleet.MeshFleet(folder)
     try:
-        places = await prepare(fleet, boxes)
+        nodes = await start_nodes(fleet, boxes)
         callers = [
             clients.Caller(
-                name=f"{seed}-{place.box.name}-{number}",
-                box=place.box.name,
-                address=(place.box.ip, place.box.ports["calls"]),
+                name=f"{seed}-{node.box.name}-{number}",
+                box=node.box.name,
+                address=(node.box.ip, node.box.ports["calls"]),
             )
-            for place in places
-            for number in range(CALLERS)
+            for node in nodes
+            for number in range(CALLERS_PER_BOX)
         ]
-        running = [asyncio.ensure_future(one.run()) for one in callers]
-        plan = schedule.Schedule(
+        caller_tasks = [asyncio.ensure_future(one.run()) for one in callers]
+        faults = schedule.Schedule(
             rng=random.Random(seed),
             fleet=fleet,
-            places=places,
+            nodes=nodes,
             lethal=lethal,
             restores=restores,
         )
-        await plan.play(seconds)
-        await asyncio.sleep(CALM_S)
-        calm_from = clock.now()
-        await asyncio.sleep(LAST_S)
+        await faults.run(seconds)
+        await asyncio.sleep(SETTLE_S)
+        steady_from = clock.now()
+        await asyncio.sleep(STEADY_STATE_S)
         for one in callers:
             one.stopping = True
-        await asyncio.gather(*running)
-        last = {log_name(place.box.daemon) for place in places}
-        for place in places:
-            await place.links.close()
-            await place.store.close()
+        await asyncio.gather(*caller_tasks)
+        running = {log_name(node.box.daemon) for node in nodes}
+        for node in nodes:
+            await node.links.close()
+            await node.store.close()
     finally:
         fleet.close()
     history = checks.History(
-        sent=[one for caller in callers for one in caller.sent],
-        runs=checks.runs_of(fleet),
-        acked_leaving=plan.acked_leaving,
-        calm_from=calm_from,
-        troubled=plan.troubled,
+        requests=[one for caller in callers for one in caller.requests],
+        executions=checks.executions_of(fleet),
+        drained_at=faults.drained_at,
+        steady_from=steady_from,
+        fault_windows=faults.fault_windows,
         logs={
-            log_name(one): checks.whole_lines(one.log)
+            log_name(one): checks.complete_json_lines(one.log)
             for one in fleet.processes
             if one.name.startswith("daemon-")
         },
-        last=last,
-        version=plan.version,
-        ended_by=checks.ended_by(fleet),
-        exit_codes=plan.exit_codes,
+        running=running,
+        newest_version=faults.version,
+        crash_paths=checks.crash_paths(fleet),
+        exit_codes=faults.exit_codes,
     )
-    return Played(
+    return SoakResult(
         seed=seed,
-        broken=checks.broken(history) + fleet.logged_exceptions(),
-        sent=len(history.sent),
-        served=sum(one.status == 200 for one in history.sent),
-        ended=collections.Counter(history.ended_by),
-        schedule=plan.told,
+        violations=checks.find_violations(history) + fleet.logged_exceptions(),
+        sent=len(history.requests),
+        served=sum(one.status == 200 for one in history.requests),
+        crashes=collections.Counter(history.crash_paths),
+        fault_log=faults.fault_log,
     )
 
 
 def log_name(daemon: processes.Process) -> str:
-    """Return how the log of a daemon is named in the history."""
+    """Return the key of the log of a daemon in the history."""
     return f"{daemon.name} {daemon.log.name}"
 
 
-def play(
+def run_seed(
     folder: pathlib.Path,
     seed: int,
     *,
@@ -137,21 +137,21 @@
     seconds: float,
     lethal: bool = False,
     restores: bool = False,
-) -> Played:
-    """Play one seed; requests may end servers, and the store come back from a copy."""
-    played = play_in(folder, seed, boxes, seconds, lethal=lethal, restores=restores)
-    return asyncio.run(played)
+) -> SoakResult:
+    """Run one seed, optionally with lethal requests and restores of the store."""
+    coro = run_async(folder, seed, boxes, seconds, lethal=lethal, restores=restores)
+    return asyncio.run(coro)
 
 
 def main() -> int:
-    """Play a range of seeds; return 1 if any broke a promise."""
-    parser = argparse.ArgumentParser(description="Random faults on real processes.")
+    """Run a range of seeds; return 1 if any violated a guarantee."""
+    parser = argparse.ArgumentParser(description="Inject faults into real processes.")
     parser.add_argument("--seeds", default="1-50", help="FIRST-LAST")
     parser.add_argument("--boxes", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=15.0)
-    parser.add_argument("--lethal", action="store_true", help="requests end servers")
+    parser.add_argument("--lethal", action="store_true", help="send lethal requests")
     parser.add_argument(
-        "--restores", action="store_true", help="the store comes back from copies"
+        "--restores", action="store_true", help="restore the store from older snapshots"
     )
     parser.add_argument("--keep", type=pathlib.Path, help="folder for logs")
     args = parser.parse_args()
@@ -161,7 +161,7 @@
         keep = args.keep or pathlib.Path(tempfile.mkdtemp(prefix="soak-"))
         folder = keep / f"seed-{seed}"
         folder.mkdir(parents=True, exist_ok=True)
-        played = play(
+        result = run_seed(
             folder,
             seed,
             boxes=args.boxes,
@@ -169,13 +169,13 @@
             lethal=args.lethal,
             restores=args.restores,
         )
-        failed += bool(played.broken)
+        failed += bool(result.violations)
         print(
-            f"seed {seed}: {played.served} of {played.sent} served, ended "
-            f"{sorted(played.ended.values())}",
+            f"seed {seed}: {result.served} of {result.sent} served, crashes per path "
+            f"{sorted(result.crashes.values())}",
             flush=True,
         )
-        for line in played.broken[:10] + played.schedule * bool(played.broken):
+        for line in result.violations[:10] + result.fault_log * bool(result.violations):
             print(f"  {line}", flush=True)
     return 1 if failed else 0
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak, and every seed that ever failed."""
+"""Short soak runs, and the seeds that exposed faults."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 from tests.soak import soak
 
-FAILED_ONCE = {
-    28: "a signal to reload ended a daemon that was loading its libraries",
+REGRESSION_SEEDS = {
+    28: "SIGHUP killed a daemon that was still importing its modules",
 }
-"""Seeds that failed, with their cause; played at the size at which they did."""
+"""Seeds that failed, with the cause."""
 
 
-def test_promises_hold_under_random_faults(tmp_path):
-    check(soak.play(tmp_path, 1, boxes=3, seconds=6.0))
+def test_guarantees_hold_under_random_faults(tmp_path):
+    check_result(soak.run_seed(tmp_path, 1, boxes=3, seconds=6.0))
 
 
-def test_promises_hold_while_requests_end_servers(tmp_path):
-    check(soak.play(tmp_path, 2, boxes=4, seconds=8.0, lethal=True))
+def test_guarantees_hold_while_requests_crash_servers(tmp_path):
+    check_result(soak.run_seed(tmp_path, 2, boxes=4, seconds=8.0, lethal=True))
 
 
-def test_promises_hold_while_the_store_comes_back_from_copies(tmp_path):
-    check(soak.play(tmp_path, 3, boxes=4, seconds=8.0, restores=True))
+def test_guarantees_hold_while_the_store_is_restored_from_snapshots(tmp_path):
+    check_result(soak.run_seed(tmp_path, 3, boxes=4, seconds=8.0, restores=True))
 
 
-@pytest.mark.parametrize("seed", FAILED_ONCE)
-def test_a_seed_that_failed_once_holds(tmp_path, seed):
-    check(soak.play(tmp_path, seed, boxes=5, seconds=15.0))
+@pytest.mark.parametrize("seed", REGRESSION_SEEDS)
+def test_regression_seed_holds(tmp_path, seed):
+    check_result(soak.run_seed(tmp_path, seed, boxes=5, seconds=15.0))
 
 
-def check(played: soak.Played) -> None:
-    assert played.broken == [], played.schedule
-    assert played.served > 0.5 * played.sent
+def check_result(result: soak.SoakResult) -> None:
+    assert result.violations == [], result.fault_log
+    assert result.served > 0.5 * result.sent
