--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -14,7 +14,7 @@
 from ferrydeck.standins import fleet, sample
 from tests import worlds
 
-BOUND_S = 6.0
+MAX_ROLLOUT_S = 6.0
 
 
 def start(make_fleet, *, signers=("akosua",), needed=1):
@@ -40,33 +40,35 @@
     return {box.status()["bundle_version"] for box in boxes}
 
 
-def in_force(mesh, version, names=()):
-    """Wait until a version is in force; return how long it took, seconds."""
-    begun = time.monotonic()
+def wait_in_force(mesh, version, names=()):
+    """Wait until a version is in force; return the elapsed seconds."""
+    started = time.monotonic()
     what = f"version {version} in force"
-    fleet.eventually(lambda: versions(mesh, names) == {version}, what, within_s=BOUND_S)
-    return time.monotonic() - begun
+    fleet.eventually(
+        lambda: versions(mesh, names) == {version}, what, within_s=MAX_ROLLOUT_S
+    )
+    return time.monotonic() - started
 
 
-def check_trails(mesh, wanted):
-    """Check that each box has taken rising versions only, all on its trail."""
+def check_audit_trails(mesh, expected):
+    """Check that the audit trail of each box has increasing versions only."""
     for box in mesh.boxes.values():
         details = [one["detail"] for one in box.audit("bundle-accepted")]
-        taken = [int(detail.split()[1]) for detail in details]
-        assert taken == sorted(set(taken)), (box.name, taken)
-        assert taken[-1] == wanted, (box.name, taken)
+        accepted = [int(detail.split()[1]) for detail in details]
+        assert accepted == sorted(set(accepted)), (box.name, accepted)
+        assert accepted[-1] == expected, (box.name, accepted)
         assert all("signed by akosua" in detail for detail in details)
 
 
-def test_a_roll_is_in_force_at_every_box_in_time(make_fleet):
+def test_rollout_reaches_every_box_in_time(make_fleet):
     mesh = start(make_fleet)
     rolled = mesh.roll(sample.bundle_toml(2, parent=digest_of(mesh)))
     assert rolled.returncode == 0, rolled.stderr
-    assert in_force(mesh, 2) < BOUND_S
-    check_trails(mesh, 2)
+    assert wait_in_force(mesh, 2) < MAX_ROLLOUT_S
+    check_audit_trails(mesh, 2)
 
 
-def test_of_two_operators_who_race_one_wins_and_the_other_is_told(make_fleet):
+def test_of_two_concurrent_rollouts_one_fails_with_a_conflict(make_fleet):
     mesh = start(make_fleet, signers=("akosua", "kwame"))
     parent = digest_of(mesh)
     results = {}
@@ -82,65 +84,65 @@
         settings = str(mesh.boxes["north-entry"].settings)
         results[signer] = mesh.run_tool("roll", str(signed), "--settings", settings)
 
-    racers = [
+    threads = [
         threading.Thread(target=roll, args=("akosua", 5.0)),
         threading.Thread(target=roll, args=("kwame", 6.0)),
     ]
-    for racer in racers:
-        racer.start()
-    for racer in racers:
-        racer.join()
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
     codes = sorted(result.returncode for result in results.values())
     assert codes == [0, 1], results
     winner = next(name for name, one in results.items() if one.returncode == 0)
     loser = next(name for name in results if name != winner)
     assert f"signed by {winner}" in results[loser].stderr
-    assert in_force(mesh, 2) < BOUND_S
+    assert wait_in_force(mesh, 2) < MAX_ROLLOUT_S
     winning = results[winner].stdout.split()[3]
     assert {box.status()["bundle_digest"] for box in mesh.boxes.values()} == {winning}
 
 
 @pytest.mark.parametrize("lost", [1, 2])
-def test_a_lost_answer_after_the_write_is_found_to_have_succeeded(make_fleet, lost):
+def test_rollout_succeeds_when_the_write_answer_is_lost(make_fleet, lost):
     mesh = start(make_fleet)
     mesh.set_faults(lose_answers=lost)
     rolled = mesh.roll(sample.bundle_toml(2, parent=digest_of(mesh)))
     assert rolled.returncode == 0, rolled.stderr
-    assert in_force(mesh, 2) < BOUND_S
+    assert wait_in_force(mesh, 2) < MAX_ROLLOUT_S
 
 
-def test_a_box_that_starts_while_the_platform_is_out_takes_its_peers_bundle(make_fleet):
+def test_box_started_during_a_platform_outage_gets_the_bundle_from_a_peer(make_fleet):
     mesh = start(make_fleet)
     mesh.roll(sample.bundle_toml(2, parent=digest_of(mesh)))
-    in_force(mesh, 2)
+    wait_in_force(mesh, 2)
     mesh.set_faults(down=True)
     box = mesh.boxes["south-catalogue"]
     box.daemon.kill()
     mesh.restart(box)
-    assert in_force(mesh, 2) < BOUND_S
+    assert wait_in_force(mesh, 2) < MAX_ROLLOUT_S
     sources = [one["detail"] for one in box.audit("bundle-accepted")]
     assert len(sources) == 1 and "from platform" not in sources[0]
 
 
-def test_a_data_centre_cut_off_from_the_platform_gets_it_from_the_other(make_fleet):
+def test_data_centre_without_the_platform_gets_the_bundle_from_the_other(make_fleet):
     mesh = start(make_fleet)
     mesh.set_faults(cut_ports=[mesh.platform_ports["south"]])
     mesh.roll(sample.bundle_toml(2, parent=digest_of(mesh)))
-    assert in_force(mesh, 2) < BOUND_S
+    assert wait_in_force(mesh, 2) < MAX_ROLLOUT_S
     mesh.set_faults()
     mesh.roll(sample.bundle_toml(3, parent=digest_of(mesh)))
-    assert in_force(mesh, 3) < BOUND_S
-    check_trails(mesh, 3)
+    assert wait_in_force(mesh, 3) < MAX_ROLLOUT_S
+    check_audit_trails(mesh, 3)
 
 
-def test_a_platform_that_serves_an_older_bundle_is_ignored(make_fleet):
+def test_older_bundle_from_the_platform_is_ignored(make_fleet):
     mesh = start(make_fleet)
-    # From here on the platform can be made to show what it shows now.
+    # The first stale fault records the state that later ones serve.
     mesh.set_faults(stale=True)
     rolled = mesh.roll(sample.bundle_toml(2, parent=digest_of(mesh)))
     assert rolled.returncode == 0, rolled.stderr
     mesh.set_faults()
-    in_force(mesh, 2)
+    wait_in_force(mesh, 2)
     mesh.set_faults(stale=True)
     box = mesh.boxes["north-catalogue"]
     assert box.daemon.stop() == 0
@@ -149,31 +151,29 @@
         other.daemon.freeze()
     reads = mesh.platform_counts()["reads"]
     mesh.restart(box)
-    # The platform speaks first: its pointer and its bundle are both old.
+    # With its peers frozen, the box reads the stale pointer and bundle first.
     fleet.eventually(lambda: mesh.platform_counts()["reads"] > reads + 1, "reads")
     for other in others:
         other.daemon.thaw()
-    in_force(mesh, 2)
-    check_trails(mesh, 2)
+    wait_in_force(mesh, 2)
+    check_audit_trails(mesh, 2)
     assert len(box.audit("bundle-accepted")) == 1
     other = mesh.boxes["north-entry"]
-    fleet.eventually(lambda: count_of(other, "older-pointer"), "the fault is counted")
+    fleet.eventually(lambda: counter_sum(other, "older-pointer"), "fault counted")
 
 
-def rolled_raw(mesh, raw, version):
-    """Write a pointer and a bundle to the platform, past the tool's checks."""
+def write_unchecked(mesh, raw, version):
+    """Write a pointer and a bundle to the platform without the tool's checks."""
     port = client.PlatformClient(address=mesh.control)
-    pointer = port.read(rollout.POINTER).entry
+    prior = port.read(rollout.POINTER).entry
     port.send(platform.Write(key=f"bundle/{version}", value=raw, expected_version=0))
     value = json.dumps({"version": version, "digest": "0" * 64})
     port.send(
-        platform.Write(
-            key=rollout.POINTER, value=value, expected_version=pointer.version
-        )
+        platform.Write(key=rollout.POINTER, value=value, expected_version=prior.version)
     )
 
 
-def test_bundles_that_fail_a_check_are_not_taken(make_fleet):
+def test_invalid_bundles_are_rejected(make_fleet):
     mesh = start(make_fleet, signers=("akosua", "kwame"), needed=2)
     text = sample.bundle_toml(2, parent=digest_of(mesh))
     refused = mesh.roll(text, signers=("akosua",))
@@ -184,9 +184,9 @@
     forged = dict(one, signatures=one["signatures"] * 2)
     forged["signatures"][1] = dict(one["signatures"][0], signer="kwame")
     broken = dict(one, body=one["body"].replace('"version":2', '"version":9'))
-    for version, bad in ((2, one), (3, forged), (9, broken), (10, {"body": 1})):
+    for version, invalid in ((2, one), (3, forged), (9, broken), (10, {"body": 1})):
         before = {name: rejected(box) for name, box in mesh.boxes.items()}
-        rolled_raw(mesh, json.dumps(bad), version)
+        write_unchecked(mesh, json.dumps(invalid), version)
         for name, box in mesh.boxes.items():
             fleet.eventually(
                 lambda box=box, count=before[name]: rejected(box) > count,
@@ -197,17 +197,17 @@
         sample.bundle_toml(11, parent="0" * 64), signers=("akosua", "kwame")
     )
     assert good.returncode == 0, good.stderr
-    assert in_force(mesh, 11) < BOUND_S
+    assert wait_in_force(mesh, 11) < MAX_ROLLOUT_S
 
 
 def rejected(box):
-    """Return how many bundles of the platform a box has not taken."""
-    return count_of(box, 'name="bundles_rejected"')
+    """Return how many bundles a box has rejected."""
+    return counter_sum(box, 'name="bundles_rejected"')
 
 
-def count_of(box, mark):
-    """Return the sum of the counters whose line has a mark in it."""
-    lines = [one for one in box_metrics(box) if mark in one and "_total" in one]
+def counter_sum(box, label):
+    """Return the sum of the counters whose line contains the label."""
+    lines = [one for one in box_metrics(box) if label in one and "_total" in one]
     return sum(float(line.rsplit(" ", 1)[1]) for line in lines)
 
 
@@ -216,7 +216,7 @@
     return body.decode().splitlines()
 
 
-def test_a_bundle_with_findings_is_refused_with_all_of_them(make_fleet):
+def test_check_command_reports_findings_of_a_bundle(make_fleet):
     mesh = start(make_fleet)
     text = sample.bundle_toml(2).replace("slots = 150", "slots = 0")
     text = text.replace('class_name = "publish"', 'class_name = "nothing"')
@@ -227,12 +227,12 @@
     assert "slots" in checked.stderr
 
 
-def test_an_older_bundle_is_never_taken_from_anybody():
-    made = worlds.ledger_world()
+def test_older_bundle_from_a_peer_is_ignored():
+    sim = worlds.ledger_world()
     secret = "11" * 32
     key = ed25519.Ed25519PrivateKey.from_private_bytes(bytes.fromhex(secret))
     public = key.public_key().public_bytes_raw().hex()
-    core = made.boxes["north-entry"].core
+    core = sim.boxes["north-entry"].core
     core.rollout.signers = (settings.Signer(name="akosua", key=public),)
 
     def signed(version):
@@ -243,12 +243,12 @@
         )
         return signing.encode(one)
 
-    for version, wanted in ((3, 3), (2, 3), (5, 5), (4, 5), (1, 5)):
+    for version, expected in ((3, 3), (2, 3), (5, 5), (4, 5), (1, 5)):
         core.rollout.offer(1.0, signed(version), "peer")
-        assert core.rollout.version == wanted
+        assert core.rollout.version == expected
 
 
-def test_a_signature_is_of_the_body_it_signs():
+def test_bundle_digest_depends_on_the_body():
     signed = signing.SignedBundle(body="{}")
     assert signed.digest == signing.SignedBundle(body="{}").digest
     assert signed.digest != signing.SignedBundle(body="{ }").digest
--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -11,8 +11,8 @@
 from ferrydeck.standins import fleet, sample
 from tests import worlds
 
-BOUND_S = 3.0
-"""Seconds after which a leaving target gets no new work."""
+MAX_DRAIN_S = 3.0
+"""Time after which a leaving target gets no new work."""
 
 
 def start(make_fleet):
@@ -28,10 +28,10 @@
 
 
 class Callers:
-    """Callers at both entries, until they are told to end."""
+    """Threads that send requests to both entries until stopped."""
 
     def __init__(self, mesh):
-        self.ending = threading.Event()
+        self.stopping = threading.Event()
         self.boxes = []
         entries = [mesh.boxes["north-entry"], mesh.boxes["south-entry"]]
         self.threads = [
@@ -42,83 +42,83 @@
             thread.start()
 
     def run(self, entry):
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             path = "/catalogue/shows?ms=2"
             answer = client.fetch(entry.address("entry"), "GET", path)
             self.boxes.append(answer.headers.get(headers.BOX, ""))
 
-    def end(self):
-        self.ending.set()
+    def stop(self):
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
 
-def by_signal(mesh, box):
+def leave_by_signal(mesh, box):
     box.daemon.signal(15)
 
 
-def by_drain(mesh, box):
-    # Within this process: the bound runs from the command, and an interpreter that
-    # starts beside busy processes took longer than the bound itself.
+def leave_by_drain(mesh, box):
+    # Runs in this process: starting an interpreter on a busy machine can take longer
+    # than `MAX_DRAIN_S`.
     assert cli.main(["drain", box.address("admin")]) == 0
 
 
-def by_list(mesh, box):
+def leave_by_list(mesh, box):
     states = dict.fromkeys(mesh.boxes, "live")
     mesh.set_box_list(states | {box.name: "leaving"})
 
 
-def by_crash(mesh, box):
+def crash(mesh, box):
     box.daemon.kill()
 
 
-# While the platform is out there is no list of its own to leave by.
+# During a platform outage no list can announce the leaving box.
 @pytest.mark.parametrize(
     ("leave", "platform_out"),
     [
-        (by_signal, False),
-        (by_signal, True),
-        (by_drain, False),
-        (by_drain, True),
-        (by_crash, False),
-        (by_crash, True),
-        (by_list, False),
+        (leave_by_signal, False),
+        (leave_by_signal, True),
+        (leave_by_drain, False),
+        (leave_by_drain, True),
+        (crash, False),
+        (crash, True),
+        (leave_by_list, False),
     ],
 )
-def test_a_leaving_target_gets_no_new_work(make_fleet, leave, platform_out):
+def test_leaving_target_gets_no_new_work(make_fleet, leave, platform_down):
     mesh = start(make_fleet)
     mesh.set_box_list(dict.fromkeys(mesh.boxes, "live"))
     callers = Callers(mesh)
     box = mesh.boxes["north-0"]
     fleet.eventually(lambda: box.effects(), "the box works")
-    if platform_out:
+    if platform_down:
         mesh.set_faults(down=True)
-    asked = time.monotonic()
+    left_at = time.monotonic()
     leave(mesh, box)
     count = len(callers.boxes)
-    fleet.eventually(lambda: time.monotonic() > asked + BOUND_S, "the bound")
+    fleet.eventually(lambda: time.monotonic() > left_at + MAX_DRAIN_S, "drain time")
     fleet.eventually(lambda: len(callers.boxes) > count + 200, "calls go on")
-    callers.end()
-    late = [one for one in box.effects() if one["at"] > asked + BOUND_S]
+    callers.stop()
+    late = [one for one in box.effects() if one["at"] > left_at + MAX_DRAIN_S]
     assert late == []
-    assert "" not in callers.boxes[-100:], "calls fail after the box left"
+    assert "" not in callers.boxes[-100:], "calls failed after the box left"
 
 
-def test_a_box_that_restarts_gets_work_again_while_the_list_lags(make_fleet):
+def test_restarted_box_gets_work_despite_a_stale_list(make_fleet):
     mesh = start(make_fleet)
     box = mesh.boxes["north-0"]
-    by_list(mesh, box)
+    leave_by_list(mesh, box)
     entry = mesh.boxes["north-entry"]
 
-    def taken(wanted):
+    def peers_by_work(accepts_work):
         peers = entry.status()["peers"]
-        return [p["box"] for p in peers if p["takes_work"] == wanted]
+        return [p["box"] for p in peers if p["takes_work"] == accepts_work]
 
-    fleet.eventually(lambda: "north-0" in taken(False), "listed as leaving")
+    fleet.eventually(lambda: "north-0" in peers_by_work(False), "listed as leaving")
     assert box.daemon.stop() == 0
     mesh.restart(box)
-    fleet.eventually(lambda: "north-0" in taken(True), "back at work")
-    # A box that starts now has not seen the change that the list still shows.
+    fleet.eventually(lambda: "north-0" in peers_by_work(True), "back at work")
+    # A box that starts now has not observed the transition to leaving.
     other = mesh.boxes["south-0"]
     other.daemon.kill()
     mesh.restart(other)
@@ -127,10 +127,10 @@
     fleet.eventually(
         lambda: mesh.platform_counts()["reads"] > reads + 40, "the list is read again"
     )
-    assert "north-0" in taken(True)
+    assert "north-0" in peers_by_work(True)
 
 
-def test_only_a_change_to_leaving_that_was_seen_counts():
+def test_only_an_observed_transition_to_leaving_counts():
     members = worlds.ledger_world().boxes["north-entry"].core.members
 
     def listed(**states):
--- a/tests/promises/test_planned_stop.py
+++ b/tests/promises/test_planned_stop.py
@@ -9,7 +9,7 @@
 from ferrydeck.standins import fleet, sample, target
 from tests import worlds
 
-AUDIO = 20_000_000
+AUDIO_BYTES = 20_000_000
 
 
 def start(make_fleet):
@@ -25,14 +25,14 @@
 
 
 class Load:
-    """Callers that send postings and slow lookups until they are told to end."""
+    """Threads that send postings and slow lookups until stopped."""
 
     def __init__(self, mesh, entries):
         self.mesh = mesh
         self.entries = entries
-        self.ending = threading.Event()
-        self.told = collections.Counter()
-        self.cut = []
+        self.stopping = threading.Event()
+        self.outcomes = collections.Counter()
+        self.connection_errors = []
         self.threads = [
             threading.Thread(target=self.run, args=(number,)) for number in range(8)
         ]
@@ -41,7 +41,7 @@
 
     def run(self, caller):
         number = 0
-        while not self.ending.is_set():
+        while not self.stopping.is_set():
             number += 1
             entry = self.entries[number % len(self.entries)]
             post = number % 2
@@ -54,55 +54,55 @@
                     headers={headers.IDEMPOTENCY_KEY: f"{caller}-{number}"},
                 )
             except ConnectionRefusedError:
-                self.told["refused to connect"] += 1
+                self.outcomes["refused to connect"] += 1
                 continue
             except (OSError, http.client.HTTPException) as exc:
-                self.cut.append(repr(exc))
+                self.connection_errors.append(repr(exc))
                 continue
             outcome = answer.headers[headers.OUTCOME]
             reason = answer.headers.get(headers.REASON, "")
-            self.told[f"{outcome} {reason}".strip()] += 1
+            self.outcomes[f"{outcome} {reason}".strip()] += 1
 
-    def end(self):
-        self.ending.set()
+    def stop(self):
+        self.stopping.set()
         for thread in self.threads:
             thread.join()
 
 
-def download(entry, into):
-    """Read a long body slowly enough that a stop meets it."""
+def download(entry, result):
+    """Download a long body, pausing until the box has begun to stop."""
     conn = http.client.HTTPConnection("127.0.0.1", entry.ports["entry"], timeout=30)
-    conn.request("GET", f"/audio-delivery/episodes/1?size={AUDIO}")
+    conn.request("GET", f"/audio-delivery/episodes/1?size={AUDIO_BYTES}")
     answer = conn.getresponse()
-    into["box"] = answer.headers[headers.BOX]
-    into["body"] = answer.read(100_000)
-    into["begun"].set()
-    into["go on"].wait(20)
-    into["body"] += answer.read()
+    result["box"] = answer.headers[headers.BOX]
+    result["body"] = answer.read(100_000)
+    result["begun"].set()
+    result["go on"].wait(20)
+    result["body"] += answer.read()
 
 
 def stop_under_load(mesh, names, entries):
     load = Load(mesh, entries)
-    into = {"begun": threading.Event(), "go on": threading.Event()}
-    reader = threading.Thread(target=download, args=(mesh.boxes["north-entry"], into))
+    result = {"begun": threading.Event(), "go on": threading.Event()}
+    reader = threading.Thread(target=download, args=(mesh.boxes["north-entry"], result))
     reader.start()
-    assert into["begun"].wait(10)
-    names = [into["box"] if name == "audio" else name for name in names]
-    fleet.eventually(lambda: load.told.total() > 50, "calls are under way")
+    assert result["begun"].wait(10)
+    names = [result["box"] if name == "audio" else name for name in names]
+    fleet.eventually(lambda: load.outcomes.total() > 50, "calls are under way")
     for name in names:
         mesh.boxes[name].daemon.signal(15)
     stopped = [mesh.boxes[name] for name in names]
     fleet.eventually(
         lambda: all(box_is_leaving(box) for box in stopped), "boxes are leaving"
     )
-    into["go on"].set()
+    result["go on"].set()
     codes = [box.daemon.popen.wait(20) for box in stopped]
-    before = load.told.total()
-    fleet.eventually(lambda: load.told.total() > before + 50, "calls go on")
-    load.end()
+    before = load.outcomes.total()
+    fleet.eventually(lambda: load.outcomes.total() > before + 50, "calls go on")
+    load.stop()
     reader.join()
     assert codes == [0] * len(names)
-    assert into["body"] == target.numbered_body(AUDIO)
+    assert result["body"] == target.numbered_body(AUDIO_BYTES)
     return load
 
 
@@ -110,26 +110,26 @@
     return box.daemon.popen.poll() is not None or box.status()["leaving"]
 
 
-def no_quarantine(mesh):
-    """Check that no shard changed hands without its table."""
+def check_no_quarantine(mesh):
+    """Check that no shard was taken over without its key table."""
     for box in mesh.boxes.values():
         if box.daemon.popen.poll() is None:
             details = [one["detail"] for one in box.audit("shard-owned")]
             assert not [one for one in details if "quarantine" in one], details
 
 
-def test_a_target_box_stops_and_cuts_off_nothing(make_fleet):
+def test_target_box_stops_without_aborting_requests(make_fleet):
     mesh = start(make_fleet)
     entries = [mesh.boxes["north-entry"], mesh.boxes["south-entry"]]
-    # The handing over takes longer than the last messages take to leave.
+    # Makes the shard handover slower than flushing the last messages.
     mesh.set_faults(slow_s=0.2)
     load = stop_under_load(mesh, ["north-ledger", "audio"], entries)
-    assert load.cut == []
-    assert set(load.told) == {"done"}, load.told
+    assert load.connection_errors == []
+    assert set(load.outcomes) == {"done"}, load.outcomes
     fleet.eventually(
         lambda: len(mesh.boxes["south-ledger"].status()["shards"]) == 32, "shards"
     )
-    no_quarantine(mesh)
+    check_no_quarantine(mesh)
     assert max(mesh.effects().values()) == 1
 
 
@@ -137,9 +137,9 @@
     mesh = start(make_fleet)
     entries = [mesh.boxes["north-entry"], mesh.boxes["south-entry"]]
     load = stop_under_load(mesh, ["north-entry"], entries)
-    assert load.cut == []
+    assert load.connection_errors == []
     allowed = {"done", "not-run leaving", "unknown leaving", "refused to connect"}
-    assert set(load.told) <= allowed, load.told
+    assert set(load.outcomes) <= allowed, load.outcomes
     assert max(mesh.effects().values()) == 1
 
 
@@ -148,20 +148,20 @@
     entries = [mesh.boxes["north-entry"], mesh.boxes["south-entry"]]
     names = ["north-entry", "north-ledger", "audio"]
     load = stop_under_load(mesh, names, entries)
-    assert load.cut == []
-    no_quarantine(mesh)
+    assert load.connection_errors == []
+    check_no_quarantine(mesh)
     assert max(mesh.effects().values()) == 1
 
 
-def test_an_idle_owner_waits_for_its_shards_on_a_slow_platform():
-    made = worlds.ledger_world()
-    made.faults.platform_slow_s = 1.0
-    made.stop("north-ledger")
-    made.run(0.3)
-    assert not made.boxes["north-ledger"].stopped
-    made.run(10)
-    assert made.boxes["north-ledger"].stopped
-    successor = made.boxes["south-ledger"]
+def test_idle_owner_hands_over_its_shards_on_a_slow_platform():
+    sim = worlds.ledger_world()
+    sim.faults.platform_slow_s = 1.0
+    sim.stop("north-ledger")
+    sim.run(0.3)
+    assert not sim.boxes["north-ledger"].stopped
+    sim.run(10)
+    assert sim.boxes["north-ledger"].stopped
+    successor = sim.boxes["south-ledger"]
     assert len(successor.core.shard_owner.owned) == 32
     details = [one.detail for one in successor.audit if one.action == "shard-owned"]
     assert not [one for one in details if "quarantine" in one]
--- a/tests/promises/test_whole_answers.py
+++ b/tests/promises/test_whole_answers.py
@@ -13,7 +13,7 @@
 from ferrydeck.standins import fleet, sample, target
 from tests import worlds
 
-AUDIO = 3_000_000
+AUDIO_BYTES = 3_000_000
 
 
 def start(make_fleet, **services):
@@ -30,41 +30,41 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_late_doubled_and_reordered_answers_reach_their_own_callers_only(seed):
-    made = worlds.sample_world(seed)
-    made.add_box("entry", "north")
+def test_delayed_duplicated_and_reordered_answers_reach_the_right_callers(seed):
+    sim = worlds.sample_world(seed)
+    sim.add_box("entry", "north")
     for number in range(3):
         name = f"catalogue-{number}"
-        made.add_box(name, "north", service="catalogue", slots=100)
-    made.run(2)
+        sim.add_box(name, "north", service="catalogue", slots=100)
+    sim.run(2)
     rng = random.Random(seed)
-    faults = made.faults
+    faults = sim.faults
     faults.delay_ratio, faults.max_delay_s = 0.4, 1.0
     faults.duplicate_ratio, faults.loss_ratio = 0.3, 0.05
     for number in range(500):
         if number % 100 == 50:
-            made.restart(f"catalogue-{rng.randrange(3)}")
+            sim.restart(f"catalogue-{rng.randrange(3)}")
         path = f"/catalogue/shows/{number}?ms={rng.choice([1, 30])}"
-        made.call("entry", "GET", path, deadline_ms=rng.choice([50, 400]))
-        made.run(rng.uniform(0, 0.02))
-    made.run(5)
-    done = [call for call in made.calls if call.outcome == "done"]
+        sim.call("entry", "GET", path, deadline_ms=rng.choice([50, 400]))
+        sim.run(rng.uniform(0, 0.02))
+    sim.run(5)
+    done = [call for call in sim.calls if call.outcome == "done"]
     assert len(done) > 200
     for call in done:
-        own = call.path.removeprefix("/catalogue").encode() + b" "
-        assert call.answer.body == own
-    assert all(call.outcome for call in made.calls)
-
-
-def test_an_answer_of_another_box_or_process_is_dropped():
-    made = worlds.sample_world(1)
-    made.add_box("entry", "north")
-    made.add_box("catalogue", "north", service="catalogue", slots=10)
-    made.add_box("other", "north", service="membership", slots=10)
-    made.run(2)
-    call = made.call("entry", "GET", "/catalogue/shows/1?ms=200")
-    made.run(0.01)
-    forwarder = made.boxes["entry"].core.forwarder
+        expected_body = call.path.removeprefix("/catalogue").encode() + b" "
+        assert call.answer.body == expected_body
+    assert all(call.outcome for call in sim.calls)
+
+
+def test_answer_from_an_unexpected_box_is_dropped():
+    sim = worlds.sample_world(1)
+    sim.add_box("entry", "north")
+    sim.add_box("catalogue", "north", service="catalogue", slots=10)
+    sim.add_box("other", "north", service="membership", slots=10)
+    sim.run(2)
+    call = sim.call("entry", "GET", "/catalogue/shows/1?ms=200")
+    sim.run(0.01)
+    forwarder = sim.boxes["entry"].core.forwarder
     attempt = next(iter(forwarder.attempts.by_attempt))
     foreign = messages.Answer(
         attempt=attempt,
@@ -75,27 +75,27 @@
         unused=0,
         load=messages.Load(),
     )
-    other = made.boxes["other"]
+    other = sim.boxes["other"]
     peer = other.core.members.peers["entry"]
     other.core.members.send(peer, foreign)
-    made.run(1)
+    sim.run(1)
     assert call.answer.body == b"/shows/1?ms=200 "
 
 
-def test_many_real_callers_get_their_own_whole_answers(make_fleet):
+def test_concurrent_callers_get_their_own_complete_answers(make_fleet):
     mesh, entry = start(make_fleet, catalogue=2)
-    wrong = []
+    mismatches = []
 
     def send(caller):
         conn = http.client.HTTPConnection("127.0.0.1", entry.ports["entry"], timeout=10)
         for number in range(50):
-            mark = f"{caller}-{number}"
-            path = f"/catalogue/shows/{mark}?id={mark}&ms={number % 7}"
+            request_id = f"{caller}-{number}"
+            path = f"/catalogue/shows/{request_id}?id={request_id}&ms={number % 7}"
             conn.request("GET", path)
             answer = conn.getresponse()
             body = answer.read()
-            if answer.status != 200 or f'"id":"{mark}"'.encode() not in body:
-                wrong.append((mark, answer.status, body))
+            if answer.status != 200 or f'"id":"{request_id}"'.encode() not in body:
+                mismatches.append((request_id, answer.status, body))
         conn.close()
 
     callers = [threading.Thread(target=send, args=(number,)) for number in range(16)]
@@ -103,11 +103,11 @@
         caller.start()
     for caller in callers:
         caller.join()
-    assert wrong == []
+    assert mismatches == []
 
 
 def read_answers(sock, count):
-    """Read so many answers with a length from a socket."""
+    """Read `count` answers with a Content-Length from a socket."""
     file = sock.makefile("rb")
     answers = []
     for _ in range(count):
@@ -121,7 +121,7 @@
     return answers
 
 
-def test_pipelined_requests_are_answered_in_their_order(make_fleet):
+def test_pipelined_requests_are_answered_in_order(make_fleet):
     mesh, entry = start(make_fleet, catalogue=1)
     address = ("127.0.0.1", entry.ports["entry"])
     with socket.create_connection(address, timeout=10) as sock:
@@ -129,8 +129,8 @@
             path = f"/catalogue/shows/{number}?ms={(5 - number) * 100}&id=p{number}"
             sock.sendall(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
             if number == 0:
-                works = mesh.boxes["catalogue-0"].effects
-                fleet.eventually(works, "the first is being served")
+                effects = mesh.boxes["catalogue-0"].effects
+                fleet.eventually(effects, "the first request is running")
         answers = read_answers(sock, 5)
     assert [status for status, _ in answers] == [200] * 5
     for number, (_, body) in enumerate(answers):
@@ -172,7 +172,7 @@
 }
 
 
-def test_bad_requests_get_a_clear_answer_and_lose_nothing(make_fleet):
+def test_malformed_requests_are_rejected_without_side_effects(make_fleet):
     mesh, entry = start(make_fleet, payments_ledger=1)
     for name, (data, status) in BAD_REQUESTS.items():
         with socket.create_connection(("127.0.0.1", entry.ports["entry"])) as sock:
@@ -185,16 +185,16 @@
     assert mesh.effects() == {}
 
 
-def test_a_long_body_that_breaks_goes_on_elsewhere_or_ends_the_connection(make_fleet):
+def test_interrupted_body_resumes_at_another_box_or_closes_the_connection(make_fleet):
     mesh, entry = start(make_fleet, audio_delivery=2)
-    whole = target.numbered_body(AUDIO)
-    path = f"/audio-delivery/episodes/1?size={AUDIO}"
+    expected_body = target.numbered_body(AUDIO_BYTES)
+    path = f"/audio-delivery/episodes/1?size={AUDIO_BYTES}"
     for box in mesh.boxes.values():
         if box.service:
             box.configure_target(break_after=1_000_000)
     answer = client.fetch(entry.address("entry"), "GET", path)
-    # Each box breaks after a megabyte, so the body comes in three pieces.
-    assert answer.body == whole
+    # Each box closes the connection after 1 MB, so the body arrives in three parts.
+    assert answer.body == expected_body
     for box in mesh.boxes.values():
         if box.service:
             box.configure_target(break_after=300_000)
@@ -202,12 +202,12 @@
         client.fetch(entry.address("entry"), "GET", path)
 
 
-def test_a_box_killed_in_a_download_is_replaced_by_another(make_fleet):
+def test_download_resumes_at_another_box_after_a_crash(make_fleet):
     mesh, entry = start(make_fleet, audio_delivery=2)
     size = 20_000_000
     for box in mesh.boxes.values():
         if box.service:
-            # The stand-in makes a body of this size only once.
+            # The stand-in server caches a body of this size.
             client.fetch(box.address("target"), "GET", f"/episodes/1?size={size}")
     conn = http.client.HTTPConnection("127.0.0.1", entry.ports["entry"], timeout=20)
     conn.request("GET", f"/audio-delivery/episodes/1?size={size}")
