--- a/tests/promises/test_leaving.py
+++ b/tests/promises/test_leaving.py
@@ -85,13 +85,13 @@
         (leave_by_list, False),
     ],
 )
-def test_leaving_target_gets_no_new_work(make_fleet, leave, platform_down):
+def test_leaving_target_gets_no_new_work(make_fleet, leave, platform_out):
     mesh = start(make_fleet)
     mesh.set_box_list(dict.fromkeys(mesh.boxes, "live"))
     callers = Callers(mesh)
     box = mesh.boxes["north-0"]
     fleet.eventually(lambda: box.effects(), "the box works")
-    if platform_down:
+    if platform_out:
         mesh.set_faults(down=True)
     left_at = time.monotonic()
     leave(mesh, box)
