--- a/tests/mesh/test_switches.py
+++ b/tests/mesh/test_switches.py
@@ -36,28 +36,28 @@
 
 
 CASES = {
-    "price_slots": test_surge.test_a_full_service_behind_holds_back_what_would_call_it,
+    "price_slots": test_surge.test_requests_that_call_an_overloaded_service_are_shed,
     "turn_away_failing": test_routes_with_failing_downstream_calls_are_shed,
     "pass_rank_on": (
-        test_surge.test_calls_of_postings_are_offered_again_first_where_all_servers_shed
+        test_surge.test_calls_of_postings_are_retried_first_while_all_targets_shed
     ),
     "offer_shed_again": (
-        test_surge.test_servers_that_shed_half_are_asked_again_but_no_more_servers_than_allowed
+        test_surge.test_shed_requests_are_retried_within_the_budget_and_the_attempt_limit
     ),
     "keep_offers_for_urgent": (
-        test_surge.test_calls_of_postings_are_offered_again_first_where_all_servers_shed
+        test_surge.test_calls_of_postings_are_retried_first_while_all_targets_shed
     ),
     "repeat_failed": test_first_failures_of_a_target_are_retried_elsewhere,
     "prefer_fast": test_balancing.test_a_faster_target_gets_more_requests_at_low_load,
     "prefer_near": test_balancing.test_requests_are_served_in_the_same_data_centre,
     "spill_early": (
-        test_surge.test_work_goes_to_another_zone_before_a_near_server_is_full
+        test_surge.test_requests_go_to_another_data_centre_before_the_local_target_is_full
     ),
     "remember_suspects": (
         test_poison_requests.test_a_poison_request_crashes_at_most_three_targets
     ),
     "move_from_silent": (
-        test_lost_boxes.test_requests_at_a_frozen_box_are_asked_of_another
+        test_lost_boxes.test_requests_at_frozen_box_are_retried_elsewhere
     ),
 }
 
