--- a/tests/golden/test_frames.py
+++ b/tests/golden/test_frames.py
@@ -58,7 +58,7 @@
 
 
 def test_every_mesh_tag_has_a_recorded_frame():
-    tags = {tag_of(cls) for cls in typing.get_args(messages.Any)}
+    tags = {tag_of(cls) for cls in typing.get_args(messages.AnyMessage)}
     assert tags == {frame["tag"] for frame in recorded("mesh")}
 
 
--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -68,7 +68,7 @@
         found = parsed.keyring.find(key)
         assert (found.name if found else None) == team
     for host, path, route in entry["found"]:
-        found = parsed.find(host, path)
+        found = parsed.find_route(host, path)
         assert (found.name if found else None) == route
 
 
--- a/tests/net/test_deflate.py
+++ b/tests/net/test_deflate.py
@@ -62,5 +62,5 @@
 
 def test_a_frame_that_inflates_beyond_the_limit_is_rejected():
     packed = deflate.Deflater().pack(b"x" * (deflate.MAX_FRAME_BYTES + 100))
-    with pytest.raises(ValueError, match="too long"):
+    with pytest.raises(ValueError, match="exceeds the maximum size"):
         deflate.Inflater().unpack(packed)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -79,16 +79,16 @@
 def test_a_manifest_is_parsed():
     parsed = manifest.read(manifest_of(), "store")
     assert parsed.version == 7
-    first = parsed.find("H.example:80", "/a/x?y=/b/")
+    first = parsed.find_route("H.example:80", "/a/x?y=/b/")
     assert first.parts == (
         policy.SplitPart(service="book", weight=90),
         policy.SplitPart(service="desk", weight=10),
     )
     assert (first.timeout_s, first.objective_s, first.max_attempts) == (5.0, 1.2, 2)
-    longer = parsed.find("h.example", "/a/b/c")
+    longer = parsed.find_route("h.example", "/a/b/c")
     assert longer.kind is policy.RouteKind.ONCE
-    assert parsed.find("h.example", "/c/") is None
-    assert parsed.find("other.example", "/a/") is None
+    assert parsed.find_route("h.example", "/c/") is None
+    assert parsed.find_route("other.example", "/a/") is None
     assert parsed.services["book"].health_path == "/well"
     assert parsed.caller_limits.body_bytes == 1000
     assert parsed.caller_limits.idle_s == 15.0
