--- a/scripts/mixed_fleet.py
+++ b/scripts/mixed_fleet.py
@@ -115,7 +115,9 @@
 
     def count_executions(self) -> collections.Counter[str]:
         """Return the executions of each request over all current targets."""
-        return collections.Counter(entry for box in self.boxes for entry in box.ran())
+        return collections.Counter(
+            entry for box in self.boxes for entry in box.ran_ids()
+        )
 
     def wait_in_force(self, version: int) -> float:
         """Wait until a policy is in force at all daemons and return the duration."""
@@ -133,19 +135,19 @@
     """Return whether a daemon logged an event of a target."""
     return any(
         entry["kind"] == kind and str(entry.get("instance", "")).startswith(instance)
-        for entry in box.lines()
+        for entry in box.log_lines()
     )
 
 
 def serve(mesh: MixedFleet) -> str:
     """Send requests through each box to the targets of both kinds of daemons."""
     load = mixed_load.Load(name="serve")
-    before = {box.name: len(box.ran()) for box in mesh.boxes}
+    before = {box.name: len(box.ran_ids()) for box in mesh.boxes}
     pairs: collections.Counter[str] = collections.Counter()
     for box in mesh.boxes:
         load.send_all(box)
         for other in mesh.boxes:
-            ran = len(other.ran())
+            ran = len(other.ran_ids())
             pair = f"{mesh.kind_of(box)}->{mesh.kind_of(other)}"
             pairs[pair] += (ran - before[other.name]) * (other is not box)
             before[other.name] = ran
@@ -162,10 +164,10 @@
 
 def change_policy(mesh: MixedFleet) -> str:
     """Change the policy at all daemons, also after the store discards its history."""
-    mesh.use(mesh_fleet.manifest(FIRST_VERSION + 1))
+    mesh.publish(mesh_fleet.manifest(FIRST_VERSION + 1))
     plain_s = mesh.wait_in_force(FIRST_VERSION + 1)
     mesh.control("forget")
-    mesh.use(mesh_fleet.manifest(FIRST_VERSION + 2))
+    mesh.publish(mesh_fleet.manifest(FIRST_VERSION + 2))
     forgotten_s = mesh.wait_in_force(FIRST_VERSION + 2)
     return f"in force at all after {plain_s:.2f} s, {forgotten_s:.2f} s"
 
@@ -193,7 +195,7 @@
     rows = [[name, [f"key-{name}"], 1, RATE_PER_S, BURST_SIZE] for name in TEAMS]
     columns = ["name", "api_keys", "priority", "rate_per_s", "burst"]
     table = mesh_fleet.manifest(TEAMS_VERSION)
-    mesh.use(table | {"tenants": {"columns": columns, "rows": rows}})
+    mesh.publish(table | {"tenants": {"columns": columns, "rows": rows}})
     mesh.wait_in_force(TEAMS_VERSION)
     pairs = [(box, team) for box in mesh.boxes for team in TEAMS]
     with concurrent.futures.ThreadPoolExecutor(len(pairs)) as pool:
@@ -234,7 +236,7 @@
 
 def is_coordinator(box: mesh_fleet.MeshBox) -> bool:
     """Return whether a daemon has set the grant of a team."""
-    return any(entry["kind"] == "allotment" for entry in box.lines())
+    return any(entry["kind"] == "allotment" for entry in box.log_lines())
 
 
 def keep_links(mesh: MixedFleet) -> str:
@@ -243,7 +245,7 @@
     A daemon closes a link on a message that it can't decode, and its peer logs the
     end. Silent links are ignored, since a busy machine may delay a daemon.
     """
-    lost = [one for box in mesh.boxes for one in box.lines() if one["kind"] == LOST]
+    lost = [one for box in mesh.boxes for one in box.log_lines() if one["kind"] == LOST]
     closed = [entry for entry in lost if entry["reason"] != SILENT]
     if closed:
         raise StepFailed(f"{len(closed)} links closed, the first: {closed[0]}")
@@ -252,7 +254,7 @@
 
 def stop_under_load(mesh: MixedFleet) -> str:
     """Gracefully stop and restart one daemon of each kind under load."""
-    mesh.use(mesh_fleet.manifest(TEAMS_VERSION + 1))
+    mesh.publish(mesh_fleet.manifest(TEAMS_VERSION + 1))
     mesh.wait_in_force(TEAMS_VERSION + 1)
     figures = []
     for kind in (OLD, NEW):
@@ -338,7 +340,7 @@
 def run_steps(mesh: MixedFleet) -> list[StepResult]:
     """Start the fleet and run the steps up to the first failure."""
     rows = []
-    mesh.use(mesh_fleet.manifest(FIRST_VERSION))
+    mesh.publish(mesh_fleet.manifest(FIRST_VERSION))
     for _ in KINDS:
         mesh.add_box(work_ms=WORK_MS, slots=SLOTS)
     mesh.wait_linked()
--- a/tests/platform/mesh_fleet.py
+++ b/tests/platform/mesh_fleet.py
@@ -1,4 +1,4 @@
-"""Starts daemons, servers and a store as processes, and ends them by their ids."""
+"""Starts and stops daemons, servers and a store as local processes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @attrs.define(kw_only=True)
 class Answer:
-    """An answer as a client sees it."""
+    """An HTTP response as the client receives it."""
 
     status: int
     fields: dict[str, str]
@@ -54,15 +54,15 @@
     try:
         conn.request(method, path, body, fields or {}, encode_chunked=chunked)
         response = conn.getresponse()
-        told = {name.lower(): value for name, value in response.getheaders()}
-        return Answer(status=response.status, fields=told, body=response.read())
+        headers = {name.lower(): value for name, value in response.getheaders()}
+        return Answer(status=response.status, fields=headers, body=response.read())
     finally:
         conn.close()
 
 
 @attrs.define(kw_only=True, eq=False)
 class MeshBox:
-    """A daemon with its server."""
+    """A daemon and its application server."""
 
     name: str
     ip: str
@@ -79,21 +79,21 @@
     def ready(self) -> bool:
         return fetch(self.address("ready"), "GET", "/api/ready").status == 200
 
-    def call(self, path: str, request_id: str, **more: object) -> Answer:
-        method = more.pop("method", "GET")
+    def call(self, path: str, request_id: str, **options: object) -> Answer:
+        method = options.pop("method", "GET")
         fields = {"Host": HOST, "X-Attempt-Id": request_id, "X-Deadline-Ms": "2000"}
-        fields |= more.pop("fields", {})
-        return fetch(self.address("calls"), method, path, fields=fields, **more)
+        fields |= options.pop("fields", {})
+        return fetch(self.address("calls"), method, path, fields=fields, **options)
 
-    def gate_opened(self) -> bool:
-        return any(one["kind"] == "server-ready" for one in self.lines())
+    def server_ready(self) -> bool:
+        return any(line["kind"] == "server-ready" for line in self.log_lines())
 
-    def ran(self) -> list[str]:
+    def ran_ids(self) -> list[str]:
         answer = fetch(self.address("target"), "GET", "/standin/ran")
         return json.loads(answer.body)["ran"]
 
-    def control(self, what: str, body: bytes = b"") -> dict[str, object]:
-        answer = fetch(self.address("target"), "PUT", f"/standin/{what}", body=body)
+    def control(self, command: str, body: bytes = b"") -> dict[str, object]:
+        answer = fetch(self.address("target"), "PUT", f"/standin/{command}", body=body)
         return json.loads(answer.body)
 
     def metric(self, name: str) -> float:
@@ -103,14 +103,14 @@
                 return float(line.rpartition(" ")[2])
         raise AssertionError(f"no metric {name}")
 
-    def lines(self) -> list[dict[str, object]]:
+    def log_lines(self) -> list[dict[str, object]]:
         text = self.daemon.log.read_text()
-        whole = [line for line in text.splitlines(keepends=True) if line[-1] == "\n"]
-        return [json.loads(line) for line in whole if line.startswith("{")]
+        complete = [line for line in text.splitlines(keepends=True) if line[-1] == "\n"]
+        return [json.loads(line) for line in complete if line.startswith("{")]
 
 
 class MeshFleet:
-    """A store, and daemons with a server of `desk` each, at IP numbers of their own."""
+    """A store and boxes, each a daemon with a `desk` server on its own loopback IP."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -131,13 +131,13 @@
     close = fleet.Fleet.close
     logged_exceptions = fleet.Fleet.logged_exceptions
 
-    def control(self, what: str, body: bytes = b"") -> dict[str, object]:
+    def control(self, command: str, body: bytes = b"") -> dict[str, object]:
         address = f"{port_range.IP}:{self.store_port}"
-        answer = fetch(address, "PUT", f"/standin/{what}", body=body)
+        answer = fetch(address, "PUT", f"/standin/{command}", body=body)
         return json.loads(answer.body)
 
-    def use(self, table: dict[str, object]) -> None:
-        self.control("policy", json.dumps(table).encode())
+    def publish(self, policy: dict[str, object]) -> None:
+        self.control("policy", json.dumps(policy).encode())
 
     def add_box(
         self,
@@ -151,7 +151,7 @@
         ip = f"127.0.0.{number}"
         ports = {name: port_range.free_port() for name in ENDPOINTS} | self.shared
         settings = self.folder / f"box-{number}.toml"
-        text = self.settings(number, ip, ports, store, link_advertised)
+        text = self.settings_text(number, ip, ports, store, link_advertised)
         settings.write_text(text)
         box = MeshBox(
             name=f"box-{number}",
@@ -194,7 +194,7 @@
             f"daemon-{number}", "ferrydeck.meshd", "--settings", str(settings)
         )
 
-    def settings(
+    def settings_text(
         self,
         number: int,
         ip: str,
@@ -225,10 +225,10 @@
         for box in self.boxes:
             fleet.eventually(
                 lambda box=box: box.metric("ferrydeck_peers_linked") == others,
-                f"{box.name} is linked with all others",
+                f"{box.name} is linked to all other boxes",
             )
             fleet.eventually(box.ready, f"{box.name} is ready")
-            fleet.eventually(box.gate_opened, f"{box.name} knows its server")
+            fleet.eventually(box.server_ready, f"{box.name} has seen its server ready")
             fleet.eventually(
                 lambda box=box: (
                     box.call("/look/first", f"first-{box.name}").status == 200
--- a/tests/platform/test_teams.py
+++ b/tests/platform/test_teams.py
@@ -1,4 +1,4 @@
-"""Teams as the platform states them: tenants, keys, the fields that servers get."""
+"""Teams in the platform manifest: tenants, API keys and the header for servers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.platform import mesh_fleet, test_adapter
 
 COLUMNS = ["name", "api_keys", "priority", "rate_per_s", "burst"]
-SECRET = "28m82thhkmgjqnirth5m"
+API_KEY = "28m82thhkmgjqnirth5m"
 
 
 def manifest_of(*rows: list[object]) -> bytes:
@@ -24,17 +24,17 @@
     return test_adapter.manifest_of(tenants=teams)
 
 
-def test_teams_are_read_with_their_keys():
+def test_manifest_teams_are_read_with_their_keys():
     raw = manifest_of(
-        ["farm", [SECRET, "other"], 1, 177, 80], ["mill", ["third"], None, None, None]
+        ["farm", [API_KEY, "other"], 1, 177, 80], ["mill", ["third"], None, None, None]
     )
-    made = manifest.read(raw, "store")
+    result = manifest.read(raw, "store")
     farm = keys.Team(name="farm", priority=1, rate_per_s=177.0, burst=80.0)
-    assert made.teams == {"farm": farm, "mill": keys.Team(name="mill")}
-    assert made.keyring.find(SECRET) == farm
-    assert made.keyring.find("third") == keys.Team(name="mill")
-    assert made.keyring.find("fourth") is None
-    assert not made.teams["mill"].has_quota
+    assert result.teams == {"farm": farm, "mill": keys.Team(name="mill")}
+    assert result.keyring.find(API_KEY) == farm
+    assert result.keyring.find("third") == keys.Team(name="mill")
+    assert result.keyring.find("fourth") is None
+    assert not result.teams["mill"].has_quota
 
 
 def test_a_manifest_without_tenants_has_no_teams():
@@ -44,31 +44,31 @@
 @pytest.mark.parametrize(
     ("rows", "words"),
     [
-        ([["a", [SECRET], 1, 1, 1], ["b", [SECRET], 1, 1, 1]], ["key shared with"]),
+        ([["a", [API_KEY], 1, 1, 1], ["b", [API_KEY], 1, 1, 1]], ["key shared with"]),
         ([["a", ["k"], 1, 1, 1], ["a", ["l"], 1, 1, 1]], ["duplicate team name"]),
-        ([["a", [SECRET], 1, -1, 1]], ["rate_per_s"]),
-        ([["a", [SECRET], 1, 1, "many"]], ["burst"]),
-        ([["a", [SECRET], -1, 1, 1]], ["priority"]),
-        ([["a", [SECRET + " x"], 1, 1, 1]], ["keys of a"]),
+        ([["a", [API_KEY], 1, -1, 1]], ["rate_per_s"]),
+        ([["a", [API_KEY], 1, 1, "many"]], ["burst"]),
+        ([["a", [API_KEY], -1, 1, 1]], ["priority"]),
+        ([["a", [API_KEY + " x"], 1, 1, 1]], ["keys of a"]),
         ([["a", [""], 1, 1, 1]], ["keys of a"]),
-        ([["a", SECRET, 1, 1, 1]], ["keys of a"]),
-        ([["", [SECRET], 1, 1, 1]], ["name"]),
-        ([["a\r\nx: y", [SECRET], 1, 1, 1]], ["name"]),
-        ([[SECRET]], ["tenants[0]"]),
+        ([["a", API_KEY, 1, 1, 1]], ["keys of a"]),
+        ([["", [API_KEY], 1, 1, 1]], ["name"]),
+        ([["a\r\nx: y", [API_KEY], 1, 1, 1]], ["name"]),
+        ([[API_KEY]], ["tenants[0]"]),
         (
-            [["a", [SECRET], 1, -1, 1], ["b", [""], 1, 1, 1]],
+            [["a", [API_KEY], 1, -1, 1], ["b", [""], 1, 1, 1]],
             ["tenants[0]", "tenants[1]"],
         ),
     ],
 )
-def test_teams_that_can_not_be_used_are_findings_that_show_no_key(rows, words):
-    made = manifest.read(manifest_of(*rows), "store")
-    assert isinstance(made, findings.Rejected)
-    assert all(word in str(made) for word in words)
-    assert SECRET not in str(made)
+def test_invalid_teams_are_reported_without_their_keys(rows, words):
+    result = manifest.read(manifest_of(*rows), "store")
+    assert isinstance(result, findings.Rejected)
+    assert all(text in str(result) for text in words)
+    assert API_KEY not in str(result)
 
 
-def test_a_policy_with_a_thousand_routes_and_teams_is_read_within_a_tick():
+def test_policy_with_1400_routes_and_1000_teams_is_read_within_100_ms():
     routes = [
         [f"r{n}", "h.example", f"/p{n}/", "safe", "1s", "1s", 0, None, 2, "desk"]
         for n in range(1400)
@@ -78,45 +78,45 @@
         tenants={"columns": COLUMNS, "rows": teams},
         routes={"columns": test_adapter.COLUMNS, "rows": routes},
     )
-    took_s = []
+    durations_s = []
     for _ in range(3):
-        began = time.process_time()
-        made = manifest.read(raw, "store")
-        took_s.append(time.process_time() - began)
-    assert len(made.teams) == 1000
-    # 20 to 23 ms as measured, 57 the first time; links are looked after every 100.
-    assert min(took_s) < 0.1
+        started = time.process_time()
+        result = manifest.read(raw, "store")
+        durations_s.append(time.process_time() - started)
+    assert len(result.teams) == 1000
+    # Parsing must not delay the link checks, which run every 100 ms.
+    assert min(durations_s) < 0.1
 
 
-def test_the_key_of_a_request_goes_no_further():
-    facts = headers.read_request(
+def test_api_key_header_is_removed_from_the_request():
+    parsed = headers.read_request(
         [
             ("host", "h.example"),
             ("x-attempt-id", "abc"),
-            ("x-api-key", SECRET),
+            ("x-api-key", API_KEY),
             ("x-tenant", "forged"),
             ("x-kept", "2"),
         ],
         teams=True,
     )
-    assert facts.key == SECRET
-    assert facts.fields == [("host", "h.example"), ("x-kept", "2")]
-    assert SECRET not in repr(facts)
+    assert parsed.key == API_KEY
+    assert parsed.fields == [("host", "h.example"), ("x-kept", "2")]
+    assert API_KEY not in repr(parsed)
 
 
-def test_without_teams_a_key_is_a_field_like_any_other():
-    facts = headers.read_request([("x-api-key", SECRET), ("x-tenant", "kept")])
-    assert facts.fields == [("x-api-key", SECRET), ("x-tenant", "kept")]
-    assert facts.key == ""
+def test_api_key_header_is_forwarded_without_teams():
+    parsed = headers.read_request([("x-api-key", API_KEY), ("x-tenant", "kept")])
+    assert parsed.fields == [("x-api-key", API_KEY), ("x-tenant", "kept")]
+    assert parsed.key == ""
 
 
-def test_two_keys_are_a_fault():
-    fields = [("x-api-key", SECRET), ("x-api-key", SECRET)]
+def test_repeated_api_key_header_is_an_error():
+    fields = [("x-api-key", API_KEY), ("x-api-key", API_KEY)]
     assert headers.read_request(fields, teams=True).multiple_keys
 
 
 @pytest.mark.parametrize(("team", "told"), [("farm", "farm"), ("", None)])
-def test_a_server_is_told_the_team(team, told):
+def test_server_receives_the_team_header(team, told):
     dispatch = effects.Dispatch(
         dispatch=1,
         method="GET",
@@ -132,7 +132,7 @@
     assert dict(headers.target_fields(dispatch)).get("x-tenant") == told
 
 
-def test_revocation_is_strict_only_where_that_was_agreed():
+def test_revocation_deadline_requires_strict_revoke():
     report = findings.Report(file="x")
     stated = {"revoke": "5000ms", "strict_revoke": "true"}
     assert limits.read(stated, "", report).revoke_s == 5.0
@@ -145,7 +145,7 @@
     return {"tls_key": "op/config", "value": value, "revision": revision}
 
 
-def test_a_proof_asks_for_no_change_and_gets_the_newer_policy_if_there_is_one():
+def test_policy_proof_is_read_only_and_returns_a_newer_policy():
     request = store.ProvePolicy(version=7, revision=31)
     call = kv.to_http(request)
     assert (call.method, call.path) == ("POST", "/api/kv-txn")
@@ -156,12 +156,12 @@
     }
     assert kv.from_http(request, 200, [b'{"revision":40}']) == store.PolicyProved()
     body = json.dumps({"items": [item_of(test_adapter.manifest_of(), 35)]}).encode()
-    found = kv.from_http(request, 412, [body])
-    assert isinstance(found.policy, policy.Policy)
-    assert (found.policy.version, found.policy.revision) == (7, 35)
+    outcome = kv.from_http(request, 412, [body])
+    assert isinstance(outcome.policy, policy.Policy)
+    assert (outcome.policy.version, outcome.policy.revision) == (7, 35)
 
 
-def test_a_proof_of_what_is_not_there_is_none():
+def test_policy_proof_without_a_policy_has_no_answer():
     request = store.ProvePolicy(version=7, revision=31)
     for status, body in ((412, b'{"items":[null]}'), (412, b"{}"), (503, b"")):
         assert isinstance(kv.from_http(request, status, [body]), store.NoAnswer)
@@ -169,23 +169,23 @@
 
 @pytest.fixture
 def mesh(tmp_path):
-    made = mesh_fleet.MeshFleet(tmp_path)
-    yield made
-    made.close()
-    assert made.logged_exceptions() == []
+    mesh_under_test = mesh_fleet.MeshFleet(tmp_path)
+    yield mesh_under_test
+    mesh_under_test.close()
+    assert mesh_under_test.logged_exceptions() == []
 
 
-def test_keys_are_taken_in_and_taken_away_end_to_end(mesh):
-    def table(version: int, *held: str) -> dict[str, object]:
-        made = mesh_fleet.manifest(version)
-        routes = made["routes"]
+def test_api_keys_are_added_and_revoked_end_to_end(mesh):
+    def manifest_with_keys(version: int, *api_keys: str) -> dict[str, object]:
+        result = mesh_fleet.manifest(version)
+        routes = result["routes"]
         routes["columns"] = [*routes["columns"], "public"]
         public = [[*row, row[0] == "look"] for row in routes["rows"]]
         routes["rows"] = public
-        rows = [["farm", list(held), 1, 1000, 1000]]
-        return made | {"tenants": {"columns": COLUMNS, "rows": rows}}
+        rows = [["farm", list(api_keys), 1, 1000, 1000]]
+        return result | {"tenants": {"columns": COLUMNS, "rows": rows}}
 
-    mesh.use(table(4, SECRET, "spare"))
+    mesh.publish(manifest_with_keys(4, API_KEY, "spare"))
     boxes = [mesh.add_box() for _ in range(2)]
     mesh.wait_linked()
     box = boxes[0]
@@ -195,17 +195,17 @@
             "/pay/1", request_id, method="POST", body=b"1", fields=fields
         ).status
 
-    assert post("p-1", **{"X-Api-Key": SECRET}) == 200
+    assert post("p-1", **{"X-Api-Key": API_KEY}) == 200
     assert post("p-2") == 401
     assert post("p-3", **{"X-Api-Key": "never-held"}) == 401
-    mesh.use(table(5, "spare"))
+    mesh.publish(manifest_with_keys(5, "spare"))
     fleet.eventually(
         lambda: box.metric("ferrydeck_policy_version") == 5, "the policy is in force"
     )
-    assert post("p-4", **{"X-Api-Key": SECRET}) == 401
+    assert post("p-4", **{"X-Api-Key": API_KEY}) == 401
     assert post("p-5", **{"X-Api-Key": "spare"}) == 200
-    ran = [one for each in boxes for one in each.ran() if one.startswith("p-")]
-    assert sorted(ran) == ["p-1", "p-5"]
-    logs = "".join(each.daemon.log.read_text() for each in boxes)
-    assert SECRET not in logs
+    ran_ids = [one for node in boxes for one in node.ran_ids() if one.startswith("p-")]
+    assert sorted(ran_ids) == ["p-1", "p-5"]
+    logs = "".join(node.daemon.log.read_text() for node in boxes)
+    assert API_KEY not in logs
     assert "never-held" not in logs
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -39,7 +39,7 @@
 
 async def start_nodes(fleet: mesh_fleet.MeshFleet, boxes: int) -> list[schedule.Node]:
     """Start boxes behind proxies and wait until they serve requests."""
-    fleet.use(mesh_fleet.manifest(4))
+    fleet.publish(mesh_fleet.manifest(4))
     nodes = []
     for number in range(1, boxes + 1):
         ip = f"127.0.0.{number}"
