--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -5,7 +5,7 @@
 from ferrydeck.standins import sample
 
 
-def test_a_call_is_served_end_to_end_by_separate_processes(make_fleet):
+def test_posting_is_served_once_end_to_end_by_separate_processes(make_fleet):
     mesh = make_fleet("north", "south")
     entry = mesh.add_box("north-entry", "north", entry=True)
     mesh.add_box("north-ledger", "north", service="payments-ledger")
