--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -19,10 +19,10 @@
 
 @pytest.fixture
 def mesh(tmp_path):
-    made = mesh_fleet.MeshFleet(tmp_path)
-    yield made
-    made.close()
-    assert made.logged_exceptions() == []
+    mesh_under_test = mesh_fleet.MeshFleet(tmp_path)
+    yield mesh_under_test
+    mesh_under_test.close()
+    assert mesh_under_test.logged_exceptions() == []
 
 
 def start_two(mesh, **server):
--- a/tests/promises/test_whole_answers.py
+++ b/tests/promises/test_whole_answers.py
@@ -177,8 +177,8 @@
     for name, (data, status) in BAD_REQUESTS.items():
         with socket.create_connection(("127.0.0.1", entry.ports["entry"])) as sock:
             sock.sendall(data)
-            [(got, body)] = read_answers(sock, 1)
-        assert got == status, (name, got, body)
+            [(actual, body)] = read_answers(sock, 1)
+        assert actual == status, (name, actual, body)
         assert body.startswith(b"not-run"), name
     path = "/payments-ledger/balances"
     assert client.fetch(entry.address("entry"), "GET", path).status == 200
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -55,20 +55,20 @@
 
 def executions_of(fleet: mesh_fleet.MeshFleet) -> list[Execution]:
     """Return the executions that the servers logged."""
-    found = []
+    executions = []
     for process in fleet.processes:
         if not process.name.startswith("server-"):
             continue
         for line in complete_json_lines(process.log):
             if "ran" in line:
-                found.append(
+                executions.append(
                     Execution(
                         request_id=line["ran"],
                         instance=line["instance"],
                         at=line["at"],
                     )
                 )
-    return found
+    return executions
 
 
 def crash_paths(fleet: mesh_fleet.MeshFleet) -> list[str]:
@@ -88,37 +88,37 @@
 def find_violations(history: History) -> list[str]:
     """Return all violated guarantees, each with its request or box."""
     run_counts = collections.Counter(one.request_id for one in history.executions)
-    found = []
+    errors = []
     for one in history.requests:
-        found += _check_request(one, run_counts[one.request_id])
-    found += _check_latency(history)
-    found += _check_drain(history)
-    found += _check_policy_order(history)
-    found += _check_final_policy(history)
-    found += _check_lethal(history)
-    found += _check_recovery(history)
-    found += [f"EXIT {name}: {code}" for name, code in history.exit_codes if code]
-    return found
+        errors += _check_request(one, run_counts[one.request_id])
+    errors += _check_latency(history)
+    errors += _check_drain(history)
+    errors += _check_policy_order(history)
+    errors += _check_final_policy(history)
+    errors += _check_lethal(history)
+    errors += _check_recovery(history)
+    errors += [f"EXIT {name}: {code}" for name, code in history.exit_codes if code]
+    return errors
 
 
 def _check_request(one: clients.RequestRecord, executions: int) -> list[str]:
-    found = []
+    errors = []
     if one.at_most_once and executions > 1:
-        found.append(f"TWICE {one.request_id}: {executions}")
+        errors.append(f"TWICE {one.request_id}: {executions}")
     if one.at_most_once and one.status in REFUSAL_STATUSES and executions:
-        found.append(f"REFUSED {one.request_id}: {one.status} but ran")
+        errors.append(f"REFUSED {one.request_id}: {one.status} but ran")
     if one.status == 200:
-        whole = one.body == one.expected_body and one.echoed_id == one.request_id
-        if not whole or not executions:
-            found.append(f"MIXED {one.request_id}: {one.body!r} for {one.echoed_id}")
+        intact = one.body == one.expected_body and one.echoed_id == one.request_id
+        if not intact or not executions:
+            errors.append(f"MIXED {one.request_id}: {one.body!r} for {one.echoed_id}")
     if one.status in (400, 404, 413, 431):
-        found.append(f"DENIED {one.request_id}: {one.status}")
-    return found
+        errors.append(f"DENIED {one.request_id}: {one.status}")
+    return errors
 
 
 def _check_latency(history: History) -> list[str]:
     """Return requests without a timely answer at boxes without a daemon fault."""
-    found = []
+    errors = []
     for one in history.requests:
         late = one.ended_at - one.started_at > clients.DEADLINE_S + DEADLINE_SLACK_S
         if not late and one.status not in (clients.CONNECTION_LOST, clients.TIMED_OUT):
@@ -129,8 +129,8 @@
         )
         if not faulted:
             label = "HELD" if late else "CUT"
-            found.append(f"{label} {one.request_id} at {one.box}: {one.status}")
-    return found
+            errors.append(f"{label} {one.request_id} at {one.box}: {one.status}")
+    return errors
 
 
 def _check_drain(history: History) -> list[str]:
@@ -142,26 +142,26 @@
 
 
 def _check_policy_order(history: History) -> list[str]:
-    found = []
+    errors = []
     for name, lines in history.logs.items():
         seen = [line["version"] for line in lines if line["kind"] == "policy-in-force"]
         if seen != sorted(set(seen)):
-            found.append(f"CONFIG {name}: {seen}")
-    return found
+            errors.append(f"CONFIG {name}: {seen}")
+    return errors
 
 
 def _check_final_policy(history: History) -> list[str]:
     """Return the running daemons that do not apply the newest policy."""
-    found = []
+    errors = []
     for name, lines in history.logs.items():
         if any(line["kind"] == "stop" for line in lines) or name not in history.running:
             continue
         seen = [line["version"] for line in lines if line["kind"] == "policy-in-force"]
         if seen[-1:] != [history.newest_version]:
-            found.append(
+            errors.append(
                 f"CONFIG {name}: {seen[-1:]} at the end, not {history.newest_version}"
             )
-    return found
+    return errors
 
 
 def _check_lethal(history: History) -> list[str]:
