--- a/ferrydeck/net/sockets.py
+++ b/ferrydeck/net/sockets.py
@@ -68,7 +68,7 @@
         conn = self.conns.get(source)
         if conn is None or conn.closed or not self.writable(conn):
             return
-        self._flush(conn)
+        self._write_buffered(conn)
 
     def listener_readable(self, source: Any) -> None:
         """Handle a readable source that is not a connection, such as a listener."""
@@ -157,7 +157,7 @@
             conn.socket_error = True
             return b""
 
-    def _flush(self, conn: Any) -> None:
+    def _write_buffered(self, conn: Any) -> None:
         try:
             sent = conn.sock.send(conn.outbuf) if conn.outbuf else 0
         except OSError as exc:
--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -44,41 +44,41 @@
 
 
 def test_box_records_round_trip():
-    entry = recorded("box_records")
-    result = kv.from_http(store.ReadBoxes(), 200, [entry["page"].encode()])
-    assert result.odd == entry["odd"]
-    for record, write in zip(result.records, entry["writes"], strict=True):
+    held = recorded("box_records")
+    result = kv.from_http(store.ReadBoxes(), 200, [held["page"].encode()])
+    assert result.odd == held["odd"]
+    for record, write in zip(result.records, held["writes"], strict=True):
         call = kv.to_http(store.PutBox(record=record, lease=write["lease"]))
         assert (call.method, call.path) == (write["method"], write["path"])
         assert call.body.decode() == write["body"]
 
 
 @pytest.mark.parametrize("entry", recorded("policies"))
-def test_a_policy_is_parsed_and_kept_unchanged(entry):
-    result = kv.from_http(store.ReadPolicy(), 200, [entry["body"].encode()])
+def test_a_policy_is_parsed_and_kept_unchanged(held):
+    result = kv.from_http(store.ReadPolicy(), 200, [held["body"].encode()])
     parsed = result.policy
-    assert (result.at, result.fault) == (entry["at"], "")
-    assert (parsed.version, parsed.revision) == (entry["version"], entry["revision"])
-    assert parsed.raw == base64.b64decode(json.loads(entry["body"])["value"])
-    assert [values(one) for one in parsed.routes] == entry["routes"]
-    assert sorted(parsed.services) == entry["services"]
-    assert values(parsed.caller_limits) == entry["limits"]
-    assert [values(one) for one in parsed.teams.values()] == entry["teams"]
-    for key, team in entry["keys"].items():
+    assert (result.at, result.fault) == (held["at"], "")
+    assert (parsed.version, parsed.revision) == (held["version"], held["revision"])
+    assert parsed.raw == base64.b64decode(json.loads(held["body"])["value"])
+    assert [values(one) for one in parsed.routes] == held["routes"]
+    assert sorted(parsed.services) == held["services"]
+    assert values(parsed.caller_limits) == held["limits"]
+    assert [values(one) for one in parsed.teams.values()] == held["teams"]
+    for key, team in held["keys"].items():
         found = parsed.keyring.find(key)
         assert (found.name if found else None) == team
-    for host, path, route in entry["found"]:
+    for host, path, route in held["found"]:
         found = parsed.find_route(host, path)
         assert (found.name if found else None) == route
 
 
 def test_a_signed_bundle_is_verified_and_round_trips():
-    entry = recorded("signed")
-    raw = entry["bundle"].encode()
-    signer = settings.Signer(name=entry["signer"], key=entry["key"])
+    held = recorded("signed")
+    raw = held["bundle"].encode()
+    signer = settings.Signer(name=held["signer"], key=held["key"])
     verified = signing.verify(raw, signers=(signer,), needed=1, name="recorded")
     assert isinstance(verified, signing.Verified), verified
-    assert verified.digest == entry["digest"]
+    assert verified.digest == held["digest"]
     assert signing.encode(verified.signed) == raw
     assert bundles.canonical_body(verified.bundle) == verified.signed.body.encode()
 
