--- a/tests/golden/test_frames.py
+++ b/tests/golden/test_frames.py
@@ -1,7 +1,6 @@
-"""Wire compatibility: recorded frames of all messages decode and encode unchanged.
+"""Guards wire compatibility: recorded frames decode and encode unchanged.
 
-Guards against changes that break communication between versions. Never re-record
-frames; add one for each new message.
+Never re-record a frame; add one for each new message.
 """
 
 from __future__ import annotations
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,4 +1,4 @@
-"""Snapshots of simulated sessions: the events and effects of several cores as text.
+"""Guards against unintended changes of the effects of cores in simulated sessions.
 
 `make golden` updates the snapshots; review their diff like code.
 """
--- a/tests/mesh/chains.py
+++ b/tests/mesh/chains.py
@@ -1,9 +1,6 @@
 """Simulated deployments with a chain of calls to a deepest service of little capacity.
 
-Callers send lookups to `desk`, postings to `ledger` and entries to `deep`. A lookup
-makes one call to `ledger`, which makes one to `plan`, which makes four calls to `deep`
-in turn. A posting makes one or two calls to `plan`. Rates, service times, slots and box
-counts are those of real deployments, where each daemon sees a few runs per second.
+Lookups and postings pass through `desk`, `ledger` and `plan`; entries call `deep`.
 """
 
 from __future__ import annotations
@@ -75,13 +72,13 @@
     )
 
 
-USUAL_SPEEDS = (0.6, 1.0, 1.4)
+DEFAULT_SPEEDS = (0.6, 1.0, 1.4)
 LARGE = Deployment(
     per_s={"look": 411.0, "post": 173.0, "sheet": 62.5, "entry": 46.8},
     deadline_s={"look": 5.0, "post": 5.0, "sheet": 5.0, "entry": 2.5},
     boxes={"desk": 95, "ledger": 69, "plan": 20, "deep": 10},
     slots={"desk": 15, "ledger": 15, "plan": 34, "deep": 18},
-    speeds=dict.fromkeys(("desk", "ledger", "plan", "deep"), USUAL_SPEEDS),
+    speeds=dict.fromkeys(("desk", "ledger", "plan", "deep"), DEFAULT_SPEEDS),
     work_s_by_prefix=(
         ("/look/", 0.22),
         ("/post/", 0.28),
@@ -122,9 +119,9 @@
     boxes={"desk": 20, "ledger": 35, "plan": 8, "deep": 5},
     slots={"desk": 50, "ledger": 29, "plan": 124, "deep": 30},
     speeds={
-        "desk": USUAL_SPEEDS,
+        "desk": DEFAULT_SPEEDS,
         "ledger": SHIFTED_SPEEDS,
-        "plan": USUAL_SPEEDS,
+        "plan": DEFAULT_SPEEDS,
         "deep": SHIFTED_SPEEDS,
     },
     work_s_by_prefix=(
--- a/tests/mesh/poison/schedules.py
+++ b/tests/mesh/poison/schedules.py
@@ -1,8 +1,6 @@
 """Random fault schedules in which no target crashes because of a request.
 
-Faults hit targets (crashes, drains, wrong health checks, lost responses), daemons
-(kills and freezes), boxes (power loss) and data centres (partitions). Harmless requests
-arrive all the time, half of them identical.
+They detect harmless requests, half of them identical, that are taken for poison.
 """
 
 from __future__ import annotations
--- a/tests/mesh/poison/test_poison_requests.py
+++ b/tests/mesh/poison/test_poison_requests.py
@@ -1,7 +1,4 @@
-"""A request that crashes every target that runs it crashes at most three of them.
-
-Guards against retries and caller retries that carry it to one target after the other.
-"""
+"""Guards against retries that carry a poison request from target to target."""
 
 from __future__ import annotations
 
--- a/tests/mesh/retry_schedules.py
+++ b/tests/mesh/retry_schedules.py
@@ -1,7 +1,6 @@
-"""Random schedules of concurrent restarts, load shifts and shedding.
+"""Random schedules of restarts, load shifts and shedding, to detect retry storms.
 
-A retry is each arrival of a request at the targets of a service after the first one. In
-every window, retries are compared with the requests that callers sent.
+Each arrival of a request at the targets of a service after the first is a retry.
 """
 
 from __future__ import annotations
--- a/tests/mesh/teams/schedules.py
+++ b/tests/mesh/teams/schedules.py
@@ -1,7 +1,6 @@
-"""Random schedules of faults for a fleet with teams, checked at the targets.
+"""Random schedules of faults, key changes and overload for a fleet with teams.
 
-Boxes are killed, partitioned, frozen and rejected by the store; keys are revoked, added
-and moved to other teams; rates change; one team sends many times its usual load.
+Keys and quotas are checked at the targets.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 HALLS = 3
 BOXES = 9
 STEP_S = 0.05
-USUAL_RATIO = 0.6
+BASE_LOAD_RATIO = 0.6
 """Usual load of a team relative to its rate."""
 RATES = {"large": 60.0, "mill": 12.0, "farm": 4.0}
 """Rates of a large, a medium and a small team, requests per second."""
@@ -72,7 +71,7 @@
         """Send the requests of all teams for one step, some with revoked keys."""
         for name, rate in RATES.items():
             times = self.overload[1] if self.overload[0] == name else 1.0
-            for _ in range(self._round(USUAL_RATIO * rate * times * STEP_S)):
+            for _ in range(self._round(BASE_LOAD_RATIO * rate * times * STEP_S)):
                 self._send_request(self.rng.choice(self.keys[name] or ["none"]))
         for key in self.revoked_at:
             if self.rng.random() < 0.2:
--- a/tests/mesh/teams/test_schedules.py
+++ b/tests/mesh/teams/test_schedules.py
@@ -1,4 +1,4 @@
-"""Keys and quotas under random schedules of faults, checked at the targets.
+"""Guards against violations of keys and quotas under random schedules of faults.
 
 Run `python -m tests.mesh.teams.schedules 1 2000` for more seeds.
 """
--- a/tests/mesh/test_chain_overload.py
+++ b/tests/mesh/test_chain_overload.py
@@ -1,10 +1,6 @@
-"""Overload of the deepest service in a chain of calls.
+"""Guards against wasted work when the deepest service in a chain is overloaded.
 
-A lookup makes four calls to the deepest service and a posting eight, and each daemon
-admits only a few lookups per second. The load is 1.9 times the capacity of the deepest
-service: its 3 x 17 slots provide 51 s of work per second, of which postings need
-91/s x 8 x 0.055 s = 40 and entries 25/s x 0.17 s = 4. That leaves capacity for one
-lookup in six.
+The load is 1.9 times its capacity, which suffices for one lookup in six.
 """
 
 from __future__ import annotations
--- a/tests/mesh/test_shed_service.py
+++ b/tests/mesh/test_shed_service.py
@@ -1,11 +1,6 @@
-"""Retries while all targets of the deepest service shed 55% of their requests.
+"""Guards against retries that are spent on less urgent teams or on first calls.
 
-A posting makes four calls to the deepest service in turn, so without retries one in 24
-succeeds. The bound allows retries for a fifth of the requests there: 60% of
-(382 + 484) x 4 + 127 requests/s are 2,160, which allows 432 retries/s. Of these, the
-team of high priority needs 32 x 4 x 1.22 = 156 for postings and 25 x 4 x 1.22 = 122 for
-lookups. The rest completes 42 of the other team's 258 postings/s, if the first call of
-a run is not retried.
+All targets of the deepest service shed 55% of their requests.
 """
 
 from __future__ import annotations
