--- a/ferrydeck/mesh/core.py
+++ b/ferrydeck/mesh/core.py
@@ -280,7 +280,7 @@
             case messages.Pong(version=version, load=load):
                 self.policies.pong_received(message)
                 peer.update_load(now, load)
-                self.outbound.reports.prices_received(now, peer, load)
+                self.outbound.reports.apply_prices(now, peer, load)
                 self.policies.request_newer_policy(now, peer, version)
             case messages.TargetState():
                 self.peers.update_target_state(now, peer, message)
--- a/ferrydeck/mesh/outbound/reports.py
+++ b/ferrydeck/mesh/outbound/reports.py
@@ -29,7 +29,7 @@
         """Apply the reports of a message; `peer` is `None` for this box."""
         if peer is not None:
             peer.update_load(now, message.load)
-            self.prices_received(now, peer, message.load)
+            self.apply_prices(now, peer, message.load)
         if isinstance(message, messages.AttemptFailed):
             return
         self.inbound.correlator.set_called(
@@ -41,9 +41,7 @@
             if req.parent is not None:
                 req.parent.answered_calls[req.route.name] += 1
 
-    def prices_received(
-        self, now: float, peer: peers.Peer, load: messages.Load
-    ) -> None:
+    def apply_prices(self, now: float, peer: peers.Peer, load: messages.Load) -> None:
         """Apply the price reports that are part of a load report."""
         if load.prices and peer.target_state is not None:
             service = peer.target_state.service
