--- a/ferrydeck/signed/core/admission.py
+++ b/ferrydeck/signed/core/admission.py
@@ -83,9 +83,8 @@
 class Admission:
     """Admission control for the target beside this daemon.
 
-    The concurrency limit starts at the number of slots in the bundle, ramps up
-    while the target is cold, and adapts by AIMD: an overload signal from the target
-    lowers it, a window of high utilisation without such a signal raises it.
+    The concurrency limit ramps up to the number of slots while the target is cold and
+    adapts by AIMD: overload signals of the target lower it, high utilisation raises it.
     """
 
     slots: int
@@ -304,8 +303,7 @@
     def _can_start(self, now: float, depth: int) -> bool:
         """Return whether a job may start.
 
-        A request may call the target it is running on. To avoid a deadlock in which
-        outer calls hold every slot, some slots are reserved for nested calls.
+        Some slots are reserved for nested calls, on which running outer calls may wait.
         """
         limit = self.limit(now)
         reserved = now < self._reserve_until
--- a/ferrydeck/signed/core/leases.py
+++ b/ferrydeck/signed/core/leases.py
@@ -104,11 +104,8 @@
 
     def renew_if_due(self, now: float, lease_s: float) -> None:
         """Renew if the renewal interval has passed or the lease is unconfirmed."""
-        confirmed = self.valid(now) and self._key_version is not None
-        if (
-            not confirmed
-            or now - self._sent_at >= lease_s / RENEWALS_PER_LEASE - SLACK_S
-        ):
+        held = self.valid(now) and self._key_version is not None
+        if not held or now - self._sent_at >= lease_s / RENEWALS_PER_LEASE - SLACK_S:
             self.renew(now, lease_s)
 
     def renew(self, now: float, lease_s: float) -> None:
--- a/ferrydeck/signed/core/rollout.py
+++ b/ferrydeck/signed/core/rollout.py
@@ -24,8 +24,7 @@
 REQUEST_INTERVAL_S = 0.2
 ANNOUNCE_FANOUT = 6
 PEER_WAIT_TIMEOUT_S = 1.0
-"""How long a starting box waits for a peer to confirm the platform's bundle version,
-which may be outdated."""
+"""How long a starting box waits for a peer to confirm the platform's bundle."""
 
 
 @attrs.define(kw_only=True, frozen=True)
--- a/ferrydeck/signed/core/runs.py
+++ b/ferrydeck/signed/core/runs.py
@@ -191,8 +191,7 @@
         left = max(0.0, job.deadline - now)
         timeout_s = left
         if forward.once:
-            # The request can't be undone, so wait longer for its answer: the next
-            # retry of the caller receives it.
+            # Waits longer, for an answer that the caller's next retry can receive.
             timeout_s += self.ctx.active.bundle.longest_deadline_s
         return effects.DispatchTarget(
             dispatch=job.dispatch_id,
@@ -240,10 +239,8 @@
             del self._requests[job.forward.request_id]
         self.replies.jobs.pop(jobs.attempt_id(job), None)
         self.correlation.remove(job.run_token)
-        service_s = now - job.started_at
+        run_s = now - job.started_at
         self.apply_decisions(
             now,
-            self.target.admission.finish(
-                now, service_s=service_s, overloaded=overloaded
-            ),
+            self.target.admission.finish(now, service_s=run_s, overloaded=overloaded),
         )
--- a/ferrydeck/signed/core/serving.py
+++ b/ferrydeck/signed/core/serving.py
@@ -1,8 +1,7 @@
 """Server side: decides what happens to attempts that daemons forward to the target.
 
-Checks run in this order: reasons to reject any attempt (`Serving._rejection_reason`),
-the idempotency key, the admission level that nested calls impose on the route, and
-admission control. Owns all queued and running jobs; `runs` executes them.
+Checks each attempt itself, then its idempotency key, the admission level of its route
+and admission control. Owns all queued and running jobs; `runs` executes them.
 """
 
 from __future__ import annotations
--- a/ferrydeck/signed/core/shard_records.py
+++ b/ferrydeck/signed/core/shard_records.py
@@ -179,8 +179,7 @@
 def assign_shards(service: str, boxes: tuple[str, ...]) -> dict[int, str]:
     """Return the box that should own each shard; every box computes the same result.
 
-    Rendezvous hashing with bounded load: each shard goes to the box with the highest
-    hash whose share, the mean rounded up, is not used up.
+    Uses rendezvous hashing, bounded by the mean number of shards per box, rounded up.
     """
     if not boxes:
         return {}
--- a/ferrydeck/signed/core/shards.py
+++ b/ferrydeck/signed/core/shards.py
@@ -5,8 +5,7 @@
 
 A shard record in the platform names one holder and an epoch and changes only by
 compare-and-swap. The holder accepts new keys while its lease is valid. A box that
-takes over from a dead holder doesn't know which keys that one ran, so it refuses
-unknown keys during a quarantine; a shard handed over with its table needs none.
+takes over without the key table refuses unknown keys during a quarantine.
 """
 
 from __future__ import annotations
@@ -293,18 +292,15 @@
     def _apply_record(self, now: float, shard: int) -> None:
         """Take, hand over or give up a shard as its record now requires."""
         record = self.records.known[shard].record
-        owned = self.owned.get(shard)
-        if owned is None:
+        held = self.owned.get(shard)
+        if held is None:
             if record.holder == self.lease.holder:
                 self._own_by_record(now, shard, record)
             return
-        if record.epoch <= owned.epoch:
+        if record.epoch <= held.epoch:
             return
-        if (
-            owned.move is ownership.Move.SWAPPING
-            and record.sending == owned.transfer_id
-        ):
-            self._complete_move(now, shard, owned, record)
+        if held.move is ownership.Move.SWAPPING and record.sending == held.transfer_id:
+            self._complete_move(now, shard, held, record)
             return
         self._give_up(shard, f"record names {record.holder}")
 
--- a/ferrydeck/signed/core/streaming.py
+++ b/ferrydeck/signed/core/streaming.py
@@ -21,7 +21,7 @@
 )
 from ferrydeck.signed.wire import messages
 
-STREAM_STALL_TIMEOUT_S = 2.0
+STALL_TIMEOUT_S = 2.0
 """Time without a part after which the rest is requested from another box."""
 
 
@@ -71,7 +71,7 @@
         call = self.attempts.by_number.get(number)
         if call is None or call.stream is None:
             return
-        due = call.stream.last_progress + STREAM_STALL_TIMEOUT_S
+        due = call.stream.last_progress + STALL_TIMEOUT_S
         if now < due:
             self.ctx.schedule(due, StreamStallTimer(call=number))
             return
@@ -86,9 +86,7 @@
             etag=headers.get(message.headers, headers.ETAG),
             last_progress=now,
         )
-        self.ctx.schedule(
-            now + STREAM_STALL_TIMEOUT_S, StreamStallTimer(call=call.number)
-        )
+        self.ctx.schedule(now + STALL_TIMEOUT_S, StreamStallTimer(call=call.number))
 
     def _call_for(self, envelope: messages.Envelope, attempt: int) -> calls.Call | None:
         call = self.attempts.by_attempt.get(attempt)
@@ -110,7 +108,7 @@
         if not resume or stream.resumed_offset == stream.offset:
             self._abort(now, call)
             return
-        call.deadline = max(call.deadline, now + STREAM_STALL_TIMEOUT_S)
+        call.deadline = max(call.deadline, now + STALL_TIMEOUT_S)
         if not self.retry_policy.try_spend(now, call):
             self._abort(now, call)
             return
@@ -126,14 +124,10 @@
     def resume(self, now: float, call: calls.Call, message: messages.Answer) -> None:
         """Continue an answer with a range from another box, if the body is the same."""
         stream = call.stream
-        content_range = headers.get(message.headers, headers.CONTENT_RANGE)
+        received = headers.get(message.headers, headers.CONTENT_RANGE)
         expected = rf"bytes {stream.offset}-{stream.total - 1}/{stream.total}"
         same = headers.get(message.headers, headers.ETAG) == stream.etag
-        if (
-            message.status != 206
-            or not same
-            or not re.fullmatch(expected, content_range)
-        ):
+        if message.status != 206 or not same or not re.fullmatch(expected, received):
             self._abort(now, call)
             return
         stream.attempt_offset = stream.offset
