--- a/ferrydeck/mesh/inbound/crash_handling.py
+++ b/ferrydeck/mesh/inbound/crash_handling.py
@@ -1,12 +1,10 @@
 """Handles runs whose answer is lost, by a broken connection or a crash of the target.
 
-A run whose connection broke keeps its slot until the crash detector has a verdict. Then
-it is reported with a reason that states whether the target crashed. After a crash, the
-other daemons receive the suspects before the lost requests, so that they don't retry a
-suspect like other requests.
+A lost run keeps its slot until the crash detector has a verdict, which determines the
+reported reason. After a crash, the other daemons receive the suspects before the lost
+requests, so that they don't retry a suspect like other requests.
 
-Owns no state. Relies on the crash detector and the records of the `PoisonTracker`, on
-health checks (`TargetWatch`) and on the queue to start further requests.
+Owns no state; the crash detector and the records belong to `PoisonTracker`.
 """
 
 from __future__ import annotations
@@ -89,15 +87,12 @@
                 self.results.fail(now, req, reason)
         self.queue.start_next(now)
 
-    def suspects_changed(
-        self, now: float, changed: list[records.SuspectRecord]
-    ) -> None:
+    def suspects_changed(self, now: float, update: list[records.SuspectRecord]) -> None:
         """Handle suspects that another daemon has reported.
 
-        Retryable copies of a suspect that run here are cancelled before they crash the
-        local target too.
+        Cancels retryable copies that run here before they crash the local target too.
         """
-        for req in self.suspects.running_suspects(now, changed, self.runs.by_dispatch):
+        for req in self.suspects.running_suspects(now, update, self.runs.by_dispatch):
             if req.forward.retryable and not req.streaming:
                 self.ctx.emit(effects.CancelDispatch(dispatch=req.dispatch))
                 self.suspects.run_cancelled(now, req)
--- a/ferrydeck/mesh/inbound/heartbeats.py
+++ b/ferrydeck/mesh/inbound/heartbeats.py
@@ -3,8 +3,7 @@
 A target may send its heartbeat to any daemon. A heartbeat of another box's target is
 relayed to the daemon there, and acknowledged once that daemon has processed it.
 
-Owns the relays that wait for an acknowledgement. Relies on `TargetWatch` to process
-heartbeats, and on `PeerTable` to find the daemon of a target.
+Owns the relays that wait for an acknowledgement.
 """
 
 from __future__ import annotations
@@ -107,11 +106,9 @@
     def _ack(self, conn: int, *, accepted: bool) -> None:
         self.ctx.emit(effects.AckHeartbeat(conn=conn, accepted=accepted))
 
-    def _names_other_service(self, heartbeat: events.Heartbeat) -> bool:
+    def _names_other_service(self, event: events.Heartbeat) -> bool:
         """Return whether a heartbeat states another service than that of this box."""
-        return (
-            not heartbeat.terminating and heartbeat.service != self.ctx.identity.service
-        )
+        return not event.terminating and event.service != self.ctx.identity.service
 
     def _may_be_own(self, target_id: str) -> bool:
         """Return whether a heartbeat without address may belong to the local target."""
--- a/ferrydeck/mesh/inbound/inbound.py
+++ b/ferrydeck/mesh/inbound/inbound.py
@@ -4,8 +4,7 @@
 (`request_queue`). `target_answered` and `target_answer_part` return the target's answer
 (`results`); requests that the target lost go to `crash_handling`.
 
-Owns the components of the inbound side and connects them. The driver executes the
-effects at the target; `reply` sends messages to the daemon that forwarded a request.
+Owns the components of the inbound side and connects them.
 """
 
 from __future__ import annotations
@@ -200,8 +199,7 @@
     ) -> correlation.Match[inbound_request.InboundRequest] | None:
         """Return the run at the local target that made a request.
 
-        `run_id` is the run id that the request states; without one, or if that run is
-        unknown, the run is matched by its timing.
+        A request without the `run_id` of a known run is matched by its timing.
         """
         run = self.runs.find(run_id)
         if run is not None:
--- a/ferrydeck/mesh/inbound/results.py
+++ b/ferrydeck/mesh/inbound/results.py
@@ -119,10 +119,8 @@
         fingerprint = fingerprints.of_forward(req.forward)
         self.note(req, "broken", reason, digest=fingerprint.hex())
         number = req.forward.number
-        broken = messages.AttemptFailed(
-            number=number, reason=reason, load=self.load(now)
-        )
-        self.send(now, req, broken)
+        lost = messages.AttemptFailed(number=number, reason=reason, load=self.load(now))
+        self.send(now, req, lost)
 
     def note(
         self,
--- a/ferrydeck/mesh/outbound/outbound.py
+++ b/ferrydeck/mesh/outbound/outbound.py
@@ -248,7 +248,7 @@
             return
         match self._pick(now, req, suspect):
             case balancing.NoTarget():
-                self._no_target_found(now, req)
+                self._no_target(now, req)
             case balancing.Local(incarnation=incarnation):
                 self.attempts.send(now, req, None, incarnation)
             case balancing.Remote(peer=peer, incarnation=incarnation):
@@ -336,9 +336,7 @@
             req.tried = {self._address(peer)}
         self._apply(now, req, step, message.retry_after_s)
 
-    def _no_target_found(
-        self, now: float, req: outbound_request.OutboundRequest
-    ) -> None:
+    def _no_target(self, now: float, req: outbound_request.OutboundRequest) -> None:
         step = retrying.after_no_target(req.progress(now))
         if isinstance(step, retrying.SearchAgain):
             self._apply(now, req, step)
