--- a/tests/golden/test_stored.py
+++ b/tests/golden/test_stored.py
@@ -53,7 +53,7 @@
         assert call.body.decode() == write["body"]
 
 
-@pytest.mark.parametrize("entry", recorded("policies"))
+@pytest.mark.parametrize("held", recorded("policies"))
 def test_a_policy_is_parsed_and_kept_unchanged(held):
     result = kv.from_http(store.ReadPolicy(), 200, [held["body"].encode()])
     parsed = result.policy
