--- a/tests/mesh/test_switches.py
+++ b/tests/mesh/test_switches.py
@@ -17,10 +17,10 @@
 
 def test_routes_with_failing_downstream_calls_are_shed():
     world = test_surge.chain_of()
-    test_surge.surge_of(world, per_s=20, seconds=4)
+    test_surge.send_load(world, per_s=20, seconds=4)
     world.boxes["box-1"].target.fails = True
-    test_surge.surge_of(world, per_s=20, seconds=3)
-    looks, posts, _ = test_surge.surge_of(world, per_s=20, seconds=4)
+    test_surge.send_load(world, per_s=20, seconds=3)
+    looks, posts, _ = test_surge.send_load(world, per_s=20, seconds=4)
     world.run(2)
     assert sum(one.answer.status == 503 for one in looks) > 0.6 * len(looks)
     # Requests of high priority are still admitted.
--- a/tests/promises/test_bundle_in_force.py
+++ b/tests/promises/test_bundle_in_force.py
@@ -178,7 +178,7 @@
     text = sample.bundle_toml(2, parent=digest_of(mesh))
     refused = mesh.roll(text, signers=("akosua",))
     assert refused.returncode == 2
-    assert "1 valid of 2" in refused.stderr
+    assert "1 valid, 2 required" in refused.stderr
     signed = mesh.folder / "bundle-1.json"
     one = json.loads(signed.read_text())
     forged = dict(one, signatures=one["signatures"] * 2)
