--- a/ferrydeck/mesh/inbound/target_watch.py
+++ b/ferrydeck/mesh/inbound/target_watch.py
@@ -151,7 +151,7 @@
         """Process another daemon's report of the incarnations that have left."""
         for incarnation in left:
             if incarnation not in self.left:
-                self._leave(now, incarnation, "reported by a peer")
+                self._leave(now, incarnation, "told by a peer")
         if not self._peer_reported:
             self._peer_reported = True
             self.probe(now)
--- a/ferrydeck/net/api_client.py
+++ b/ferrydeck/net/api_client.py
@@ -95,7 +95,7 @@
         match event:
             case http_client.Answer(total=total, body=body) if total > len(body):
                 self.http.cancel(event.ticket)
-                on_result(NoAnswer(detail="answer exceeds the maximum length"))
+                on_result(NoAnswer(detail="answer too long"))
             case http_client.Answer(status=status, body=body, fields=fields):
                 on_result(Answer(status=status, body=body, fields=fields))
             case request_client.RequestFailed(detail=detail):
--- a/ferrydeck/net/http.py
+++ b/ferrydeck/net/http.py
@@ -82,18 +82,18 @@
         return Malformed(status=400, detail=str(exc))
     encoding = values.get("transfer-encoding")
     if encoding is not None and not chunked:
-        return Malformed(status=411, detail="Content-Length required")
+        return Malformed(status=411, detail="a body needs a length")
     length = parse_length(values.get("content-length"))
     if length is None:
-        return Malformed(status=400, detail="invalid Content-Length")
+        return Malformed(status=400, detail="bad content-length")
     if encoding is not None:
         if encoding.lower() != "chunked" or "content-length" in values:
-            return Malformed(status=400, detail="invalid Transfer-Encoding")
+            return Malformed(status=400, detail="a body of unclear length")
         length = CHUNKED
     if length > max_body:
         return Malformed(status=413, detail="body too large")
     if not path.startswith("/") or path.startswith("//"):
-        return Malformed(status=400, detail="request target is not a path")
+        return Malformed(status=400, detail="the target of a request is a path")
     return RequestHead(
         method=method,
         path=path,
@@ -122,13 +122,13 @@
     length = 0 if status in NO_BODY_STATUSES else parse_length(content_length)
     if encoding is not None:
         if encoding.lower() != "chunked" or content_length is not None:
-            return Malformed(status=502, detail="invalid Transfer-Encoding")
+            return Malformed(status=502, detail="bad transfer-encoding")
         length = CHUNKED
     no_length = content_length is encoding is None and status not in NO_BODY_STATUSES
     if no_length and until_close:
         length = UNTIL_CLOSE
     elif length is None or no_length:
-        return Malformed(status=502, detail="response has no valid Content-Length")
+        return Malformed(status=502, detail="an answer needs its length")
     return ResponseHead(
         status=status,
         fields=fields,
@@ -143,9 +143,9 @@
     Faster than the parser of circuits.web and without its unquoting of escapes.
     """
     if AMBIGUOUS_LINES.search(head):
-        raise MalformedHead("bare CR or LF, or folded header line")
+        raise MalformedHead("a bare line end or a folded line")
     if b"\0" in head:
-        raise MalformedHead("null byte in the head")
+        raise MalformedHead("a zero byte in the head")
     lines = head[: -len(END_OF_HEAD)].decode("latin-1").split("\r\n")
     fields = []
     for line in lines[1:]:
@@ -165,7 +165,7 @@
     if version not in VERSIONS or not parsers.METHOD_RE.match(method):
         raise MalformedHead("invalid method or version")
     if "#" in path:
-        raise MalformedHead("request target contains a fragment")
+        raise MalformedHead("a fragment in the path")
     return method, path, version
 
 
@@ -186,7 +186,7 @@
     if len(values) != len(fields):
         for name in UNIQUE_FIELDS:
             if sum(field == name for field, _ in fields) > 1:
-                raise MalformedHead(f"duplicate header field {name}")
+                raise MalformedHead(f"two fields {name}")
     return values
 
 
--- a/ferrydeck/net/http_client.py
+++ b/ferrydeck/net/http_client.py
@@ -131,7 +131,7 @@
         try:
             body = http.read_chunked(bytes(conn.inbuf))
         except ValueError:
-            self._fail_request(conn, "malformed chunk")
+            self._fail_request(conn, "bad chunk")
             return
         if body is None:
             if len(conn.inbuf) > MAX_CHUNKED_BYTES:
@@ -144,7 +144,7 @@
         """Deliver a complete body, or the first part of a streamed one."""
         length = conn.head.length
         if len(conn.inbuf) > length:
-            self._fail_request(conn, "body exceeds Content-Length")
+            self._fail_request(conn, "more bytes than its length")
             return
         if length <= self.max_buffered_bytes:
             body = bytes(conn.inbuf)
--- a/ferrydeck/net/request_client.py
+++ b/ferrydeck/net/request_client.py
@@ -97,7 +97,7 @@
         """Fail the requests whose deadline has passed, except streamed ones."""
         for conn in list(self.by_ticket.values()):
             if now >= conn.deadline and not conn.streaming:
-                self._fail_request(conn, "request timed out")
+                self._fail_request(conn, "no answer in time")
 
     def writable(self, conn: Any) -> bool:
         """Complete a connect, then send the pending request."""
--- a/ferrydeck/platform/kv.py
+++ b/ferrydeck/platform/kv.py
@@ -92,7 +92,7 @@
     if value is None:
         return 0
     if not ERA_PATTERN.fullmatch(value):
-        raise ValueError(f"invalid era {value!r}")
+        raise ValueError(f"no era: {value!r}")
     return int(value)
 
 
--- a/ferrydeck/platform/manifest.py
+++ b/ferrydeck/platform/manifest.py
@@ -80,10 +80,10 @@
     for team, api_keys in _read_rows(table, TEAMS, _team, report):
         place = f"{TEAMS}.{team.name}"
         if team.name in teams:
-            report.add(place, "duplicate team name")
+            report.add(place, "a name that stands twice")
         teams[team.name] = team
         for other in keyring.add(team, api_keys):
-            report.add(place, f"API key shared with {other!r} is invalid")
+            report.add(place, f"a key that {other!r} holds too")
     return teams
 
 
@@ -91,12 +91,12 @@
     priority, api_keys = row.get("priority"), row.get("api_keys", [])
     name = row.get("name")
     if not isinstance(name, str) or not NAME_PATTERN.fullmatch(name):
-        raise ValueError("team name is missing or not valid in a header field")
+        raise ValueError("a team needs a name that a header field can hold")
     if priority is not None and (not isinstance(priority, int) or priority < 0):
-        raise ValueError(f"the priority of {name} is not a non-negative integer")
+        raise ValueError(f"the priority of {name} is no whole number from zero on")
     texts = isinstance(api_keys, list) and all(isinstance(key, str) for key in api_keys)
     if not texts or not all(KEY_PATTERN.fullmatch(key) for key in api_keys):
-        raise ValueError(f"the API keys of {name} are not visible ASCII strings")
+        raise ValueError(f"the keys of {name} are no words of visible signs")
     team = keys.Team(
         name=name,
         priority=priority,
@@ -110,7 +110,7 @@
     """Return a non-negative number of a row, 0 if absent."""
     value = row.get(name, 0)
     if not isinstance(value, int | float) or value < 0:
-        raise ValueError(f"{name} is not a non-negative number")
+        raise ValueError(f"{name} is no number from zero on")
     return float(value)
 
 
@@ -138,13 +138,13 @@
 def _route(row: dict[str, Any]) -> policy.Route:
     host, prefix = row["host"], row["path_prefix"]
     if not host or not prefix.startswith("/") or not prefix.endswith("/"):
-        raise ValueError("host is missing or path prefix is not between slashes")
+        raise ValueError("a route needs a host and a prefix between slashes")
     timeout_s = units.to_seconds(row["timeout"])
     # The latency objective of the route; it includes time spent in queues.
     objective_s = units.to_seconds(row.get("target_latency", row["timeout"]))
     attempts, priority = row.get("max_attempts", 1), row.get("priority", 0)
     if timeout_s <= 0 or objective_s < 0 or attempts < 1 or priority < 0:
-        raise ValueError("timeout, objective, attempts or priority out of range")
+        raise ValueError("times and numbers of a route have to be above zero")
     return policy.Route(
         name=row["name"],
         host=host,
@@ -169,10 +169,10 @@
         for part in split
     ]
     if any(part.weight < 0 for part in parts):
-        raise ValueError("negative weight in traffic split")
+        raise ValueError("a weight below zero")
     kept = tuple(part for part in parts if part.weight > 0)
     if not kept:
-        raise ValueError("traffic split has no positive weight")
+        raise ValueError("a split without weight")
     return kept
 
 
--- a/ferrydeck/platform/units.py
+++ b/ferrydeck/platform/units.py
@@ -9,12 +9,12 @@
 def to_seconds(text: object) -> float:
     """Parse a duration such as `1500ms` or `2.5s` to seconds; raises `ValueError`."""
     if not isinstance(text, str):
-        raise ValueError(f"expected a duration with a unit, got {text!r}")
+        raise ValueError(f"expected a time with its unit, got {text!r}")
     for unit, factor in SECONDS_PER_UNIT.items():
         number = text.removesuffix(unit)
         if number != text and number.replace(".", "", 1).isdigit():
             return float(number) * factor
-    raise ValueError(f"expected a duration with a unit, got {text!r}")
+    raise ValueError(f"expected a time with its unit, got {text!r}")
 
 
 def parse_version(text: object) -> int:
--- a/ferrydeck/signed/metrics.py
+++ b/ferrydeck/signed/metrics.py
@@ -19,31 +19,31 @@
         self.registry = registry
         self.calls = prometheus_client.Counter(
             "ferrydeck_calls",
-            "Completed calls, by class and outcome.",
+            "Calls that were answered, by class and outcome.",
             ("class_name", "outcome"),
             registry=registry,
         )
         self.attempts = prometheus_client.Counter(
             "ferrydeck_attempts",
-            "Attempts of calls at boxes, including retries.",
+            "Forwardings of calls to boxes, retries included.",
             registry=registry,
         )
         self.refused = prometheus_client.Counter(
             "ferrydeck_calls_refused",
-            "Calls without an answer of a target, by reason.",
+            "Calls that got no target's answer, by reason.",
             ("reason",),
             registry=registry,
         )
         self.seconds = prometheus_client.Histogram(
             "ferrydeck_call_seconds",
-            "Time from receiving a call to its answer, seconds.",
+            "Time from a call's arrival to its answer, seconds.",
             ("class_name",),
             buckets=SECONDS_BUCKETS,
             registry=registry,
         )
         self.other_events = prometheus_client.Counter(
             "ferrydeck_events",
-            "Other events, by name and label; see the operators' page.",
+            "What else happened, by name and label; see the operators' page.",
             ("name", "label"),
             registry=registry,
         )
@@ -114,15 +114,15 @@
 
 
 GAUGES = {
-    "in_flight": "Jobs running at the target.",
-    "queued": "Jobs queued for the target.",
-    "limit": "Concurrency limit of the target.",
-    "shed_level": "Priority number above which new jobs are shed.",
-    "callers_waiting": "Calls of callers in progress.",
-    "bundle_version": "Version of the active bundle; 0 for none.",
-    "shards_owned": "Shards of at-most-once keys owned by this box.",
-    "keys_remembered": "At-most-once keys stored by this box.",
-    "lease_left_seconds": "Remaining time of the lease on shards, seconds.",
+    "in_flight": "Jobs that the target works on.",
+    "queued": "Jobs that wait for the target.",
+    "limit": "Jobs that may run at the target at once.",
+    "shed_level": "Priority number above which new jobs are refused.",
+    "callers_waiting": "Calls of callers that are not answered yet.",
+    "bundle_version": "Version of the bundle in force; 0 for none.",
+    "shards_owned": "Shards of calls that must not repeat, owned by this box.",
+    "keys_remembered": "Keys of calls that must not repeat, remembered here.",
+    "lease_left_seconds": "Time left of the lease on shards, seconds.",
     "leaving": "1 while the box is leaving.",
     "control_bytes_in": "Bytes of control messages received from other daemons.",
     "control_bytes_out": "Bytes of control messages sent to other daemons.",
--- a/ferrydeck/signed/net/driver.py
+++ b/ferrydeck/signed/net/driver.py
@@ -25,7 +25,7 @@
 MAX_TARGET_CONNECTIONS = 4096
 """Maximum of connections to the target; the admission limit is usually lower."""
 REASONS_BY_DETAIL = {
-    "request timed out": messages.Reason.NO_ANSWER,
+    "no answer in time": messages.Reason.NO_ANSWER,
 }
 """Reasons by detail of a failed request; `TARGET_LOST` for any other."""
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("stated", ["", "-1", "1.5", "new", "\u0663", "9" * 40])
 def test_an_invalid_era_is_rejected(stated):
-    with pytest.raises(ValueError, match="invalid era"):
+    with pytest.raises(ValueError, match="no era"):
         kv.read_era([("store-era", stated)])
 
 
--- a/tests/platform/test_teams.py
+++ b/tests/platform/test_teams.py
@@ -44,8 +44,8 @@
 @pytest.mark.parametrize(
     ("rows", "words"),
     [
-        ([["a", [API_KEY], 1, 1, 1], ["b", [API_KEY], 1, 1, 1]], ["key shared with"]),
-        ([["a", ["k"], 1, 1, 1], ["a", ["l"], 1, 1, 1]], ["duplicate team name"]),
+        ([["a", [API_KEY], 1, 1, 1], ["b", [API_KEY], 1, 1, 1]], ["holds too"]),
+        ([["a", ["k"], 1, 1, 1], ["a", ["l"], 1, 1, 1]], ["stands twice"]),
         ([["a", [API_KEY], 1, -1, 1]], ["rate_per_s"]),
         ([["a", [API_KEY], 1, 1, "many"]], ["burst"]),
         ([["a", [API_KEY], -1, 1, 1]], ["priority"]),
